--- a/Makefile
+++ b/Makefile
@@ -2,6 +2,7 @@
 
 GO          ?= go
 STATICCHECK := honnef.co/go/tools/cmd/staticcheck@v0.8.2
+GOPLS       := golang.org/x/tools/gopls@v0.22.0
 MODULES     := . standin bench
 
 .PHONY: build demo demo-direct run test vet fmt lint soak
@@ -50,6 +51,12 @@
 	  if [ -n "$$(cd $$m && $(GO) list ./... 2>/dev/null)" ]; then (cd $$m && $(GO) run $(STATICCHECK) ./...); fi; \
 	done
 
+# rename gives the identifier at AT (FILE:LINE:COLUMN) the name TO, at every use in all
+# modules.
+.PHONY: rename
+rename:
+	$(GO) run $(GOPLS) rename -w $(AT) $(TO)
+
 # generate needs protoc, protoc-gen-go and protoc-gen-go-drpc; its output is
 # committed, so that no other target does.
 .PHONY: generate
