--- a/coordination/dispatch/action.go
+++ b/coordination/dispatch/action.go
@@ -5,50 +5,56 @@
 // Action is an output of State.Step that the driver performs.
 type Action interface{ isAction() }
 
-// Send starts an attempt of a request at a sidecar. Pull is 0 for an offer.
+// Send starts an attempt of a request at a sidecar. Pull is the pull that it
+// answers, 0 for an offer.
 type Send struct {
 	ID      string
 	Sidecar string
 	Pull    uint64
 }
 
-// Register tells a sidecar how much work of a team waits here.
+// Register sends a sidecar the amount of work that a team has queued at this
+// router.
 type Register struct {
 	Sidecar string
 	Team    string
-	// Count bounds the pulls that the sidecar may have open at once for the
-	// team here. It is rounded up to a power of two; 0 withdraws.
-	Count  int
+	// Count is the maximum number of pulls that the sidecar may have open at
+	// this router for the team. It is the queue length rounded up to a power
+	// of two; 0 withdraws the registration.
+	Count int
+	// Oldest is how long the oldest request has waited.
 	Oldest time.Duration
-	// Spread is the number of sidecars at which the work is registered.
+	// Spread is the number of sidecars with which the work is registered.
 	Spread int
 }
 
-// Empty answers a pull for which nothing waits. It ends the registration at
-// that sidecar.
+// Empty answers a pull for which no request is queued. It ends the team's
+// registration with that sidecar.
 type Empty struct {
 	Sidecar string
 	Pull    uint64
 }
 
-// RefuseReason says why a request is given up.
+// RefuseReason is the reason for which a request is refused.
 type RefuseReason int
 
 // Reasons of a Refuse.
 const (
-	// QueueFull means that a bound of waiting work is reached.
+	// QueueFull means that a limit of the queued requests or bytes is reached.
 	QueueFull RefuseReason = iota + 1
-	// DeadlinePassed means that the deadline passed while the request waited.
+	// DeadlinePassed means that the deadline passed before the request was
+	// sent.
 	DeadlinePassed
-	// NoSidecar means that no sidecar of the service is known.
+	// NoSidecar means that no sidecar has served the service for longer than
+	// the grace period.
 	NoSidecar
-	// WaitTooLong means that the estimated wait passes the deadline.
+	// WaitTooLong means that the estimated queueing time exceeds the deadline.
 	WaitTooLong
-	// RetryDenied means that the retry budget is used up.
+	// RetryDenied means that the retry budget is exhausted.
 	RetryDenied
 )
 
-// String returns the reason's name in metrics.
+// String returns the name of the reason as used in metrics.
 func (r RefuseReason) String() string {
 	switch r {
 	case QueueFull:
@@ -66,11 +72,12 @@
 	}
 }
 
-// Refuse ends a request of which no attempt is under way. It was not run,
-// unless the driver knows of an earlier attempt that may have run.
+// Refuse ends a request that has no attempt in flight. The request was not run,
+// unless an earlier attempt, which the driver keeps track of, may have run.
 type Refuse struct {
-	ID         string
-	Reason     RefuseReason
+	ID     string
+	Reason RefuseReason
+	// RetryAfter is the delay after which the caller should try again.
 	RetryAfter time.Duration
 }
 
--- a/coordination/dispatch/affinity.go
+++ b/coordination/dispatch/affinity.go
@@ -2,20 +2,23 @@
 
 import "time"
 
-// keptPrefixes bounds the prefixes that a pool remembers.
-const keptPrefixes = 4096
+// maxPrefixes is the maximum number of prefixes that a pool remembers.
+const maxPrefixes = 4096
 
-// affinity remembers which sidecar was sent each prefix last. It is a hint:
-// the engine may have evicted it, and other routers send elsewhere.
+// affinity records the sidecar that each prefix was last sent to. It is a hint
+// only: the inference engine may have evicted the prefix from its cache, and
+// other routers may send it to other sidecars.
 type affinity struct {
+	// last maps each prefix to the ID of the sidecar.
 	last map[uint64]string
-	// ring holds the remembered prefixes, the oldest at next.
+	// ring holds the remembered prefixes in order of first use. When it is
+	// full, the oldest is at next.
 	ring []uint64
 	next int
 }
 
-// note remembers that the sidecar was sent the prefix.
-func (a *affinity) note(prefix uint64, sidecar string) {
+// record stores the sidecar as the last one that the prefix was sent to.
+func (a *affinity) record(prefix uint64, sidecar string) {
 	if prefix == 0 {
 		return
 	}
@@ -29,22 +32,23 @@
 }
 
 func (a *affinity) push(prefix uint64) {
-	if len(a.ring) < keptPrefixes {
+	if len(a.ring) < maxPrefixes {
 		a.ring = append(a.ring, prefix)
 		return
 	}
 	delete(a.last, a.ring[a.next])
 	a.ring[a.next] = prefix
-	a.next = (a.next + 1) % keptPrefixes
+	a.next = (a.next + 1) % maxPrefixes
 }
 
-// warm returns the sidecar that is likely to have the request's prefix in its
-// cache, if at least half of its slots are free: a busy one would make all
-// its streams slower for the sake of one prompt.
-func (s *State) warm(now time.Time, p *pool, e *entry) *peer {
-	c := s.peers[p.affinity.last[e.req.Prefix]]
-	if c == nil || c.service != p.service || !c.takesOffers(now, e) || 2*c.free < c.slots {
+// sidecarWithPrefix returns the sidecar that is likely to have the request's
+// prefix cached, or nil if there is none or less than half of its slots are
+// free. On a busier one, saving the prefill of one prompt would slow down all
+// other streams.
+func (s *State) sidecarWithPrefix(now time.Time, p *pool, e *entry) *sidecar {
+	sc := s.sidecars[p.affinity.last[e.req.Prefix]]
+	if sc == nil || sc.service != p.service || !sc.acceptsOffer(now, e) || 2*sc.free < sc.slots {
 		return nil
 	}
-	return c
+	return sc
 }
--- a/coordination/dispatch/affinity_internal_test.go
+++ b/coordination/dispatch/affinity_internal_test.go
@@ -9,12 +9,12 @@
 func TestAffinityIsBounded(t *testing.T) {
 	c := qt.New(t)
 	var a affinity
-	a.note(0, "none")
-	for i := range uint64(3 * keptPrefixes) {
-		a.note(i+1, "s")
-		a.note(i+1, "t")
+	a.record(0, "none")
+	for i := range uint64(3 * maxPrefixes) {
+		a.record(i+1, "s")
+		a.record(i+1, "t")
 	}
-	c.Assert(len(a.last), qt.Equals, keptPrefixes)
-	c.Assert(a.last[3*keptPrefixes], qt.Equals, "t")
-	c.Assert(a.last[2*keptPrefixes], qt.Equals, "")
+	c.Assert(len(a.last), qt.Equals, maxPrefixes)
+	c.Assert(a.last[3*maxPrefixes], qt.Equals, "t")
+	c.Assert(a.last[2*maxPrefixes], qt.Equals, "")
 }
--- a/coordination/dispatch/bench_test.go
+++ b/coordination/dispatch/bench_test.go
@@ -9,16 +9,16 @@
 	"goldcrestport/coordination/dispatch"
 )
 
-// Sizes of one router in the design for two years.
+// Load of one router at the size that the design plans for two years ahead.
 const (
-	designServices = 19
-	designSidecars = 116 // of each service
-	designTeams    = 2100
-	backloggedPart = 10 // one team of so many has work waiting
+	designServices     = 19
+	designSidecars     = 116 // per service
+	designTeams        = 2100
+	teamsPerBacklogged = 10 // one in this many teams has queued work
 )
 
-// design returns a core at the design size, with every tenth team backlogged
-// at this router, which is the worst spread of teams over routers.
+// design returns a State at the design size. Every tenth team is backlogged at
+// this router, which is the worst distribution of teams over routers.
 func design() *fixture {
 	f := newFixture(nil)
 	for s := range designServices {
@@ -28,7 +28,7 @@
 			f.step(dispatch.LoadReported{Sidecar: id, Slots: 64})
 		}
 	}
-	for i := range designTeams / backloggedPart {
+	for i := range designTeams / teamsPerBacklogged {
 		for n := range 4 {
 			r := request(fmt.Sprint("team-", i), fmt.Sprint(i, "-", n))
 			r.Service = fmt.Sprint(i % designServices)
@@ -39,12 +39,12 @@
 	return f
 }
 
-// BenchmarkSecond runs one second of a router at the design size: ticks, the
-// load reports of all sidecars, and arrivals that are pulled.
+// BenchmarkSecond simulates one second of a router at the design size: ticks,
+// load reports of all sidecars, and arriving requests that are pulled.
 func BenchmarkSecond(b *testing.B) {
 	empty := heap()
 	f := design()
-	held := heap() - empty
+	allocated := heap() - empty
 	before, next := f.Stats().Interests, 0
 	b.ResetTimer()
 	for range b.N {
@@ -60,11 +60,11 @@
 			}
 		}
 	}
-	b.ReportMetric(float64(held)/(1<<20), "MiB")
+	b.ReportMetric(float64(allocated)/(1<<20), "MiB")
 	b.ReportMetric(float64(f.Stats().Interests-before)/float64(b.N), "interests/s")
 }
 
-// heap returns the bytes in use.
+// heap returns the size of the allocated heap in bytes after a collection.
 func heap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -72,9 +72,9 @@
 	return m.HeapAlloc
 }
 
-// serveOne lets a request arrive and another one be pulled and end.
+// serveOne adds a request, and serves one request of the same team.
 func (f *fixture) serveOne(n int) {
-	team := n % (designTeams / backloggedPart)
+	team := n % (designTeams / teamsPerBacklogged)
 	r := request(fmt.Sprint("team-", team), fmt.Sprint("new-", n))
 	r.Service = fmt.Sprint(team % designServices)
 	f.step(dispatch.Arrived{Request: r})
--- a/coordination/dispatch/config.go
+++ b/coordination/dispatch/config.go
@@ -8,117 +8,124 @@
 	"goldcrestport/coordination/health"
 )
 
-// Policy is how a router places requests.
+// Policy selects how a router assigns requests to sidecars.
 type Policy string
 
 const (
-	// PolicyPull queues per team and lets sidecars pull.
+	// PolicyPull queues requests per team and lets sidecars pull them.
 	PolicyPull Policy = "pull"
-	// PolicyPushFIFO sends each request at once to the least loaded sidecar.
-	// It is a baseline for comparisons.
+	// PolicyPushFIFO sends each request immediately to the least loaded
+	// sidecar. It is a baseline for comparisons.
 	PolicyPushFIFO Policy = "push-fifo"
-	// PolicyPushFair queues per team at each router and pushes by fair
-	// queueing. It is a baseline for comparisons.
+	// PolicyPushFair queues requests per team at each router and pushes them
+	// by fair queueing. It is a baseline for comparisons.
 	PolicyPushFair Policy = "push-fair"
 )
 
-// Config holds the parameters of a router's dispatch.
+// Config holds the dispatch parameters of a router.
 type Config struct {
-	// Policy of placement. Default PolicyPull.
+	// Policy is the placement policy. Default PolicyPull.
 	Policy Policy
-	// Queues bounds what waits.
+	// Queues limits the queued requests.
 	Queues Queues
-	// Interest paces the control messages about waiting work.
+	// Interest controls the registration of queued work with sidecars.
 	Interest Interest
 	// Reorder bounds the search for a request with a cached prefix.
 	Reorder Reorder
-	// Retry bounds repeated attempts.
+	// Retry limits repeated attempts.
 	Retry Retry
-	// Health holds the thresholds of the ejection of a sidecar.
+	// Health holds the thresholds for ejecting a sidecar.
 	Health health.Config
-	// MaxEjected bounds the ejected part of a pool, from 0 to 1; one sidecar
-	// always stays. Default 0.5.
+	// MaxEjected limits the fraction of a pool's sidecars that may be ejected,
+	// from 0 to 1. At least one sidecar is never ejected. Default 0.5.
 	MaxEjected float64
-	// MaxOffers bounds the offers of one request before it queues, in
-	// offers. Default 3.
+	// MaxOffers is the number of times that a request may be offered to
+	// sidecars before it has to wait in its queue. Default 3.
 	MaxOffers int
-	// DefaultShare of a team that the configuration does not name.
-	// Default 1.
+	// DefaultShare is the share of a team that the configuration does not
+	// name. Default 1.
 	DefaultShare float64
-	// Seed of the random choices and of the order of each team's subset.
+	// Seed initialises the random choices and the order in which each team's
+	// subset is chosen.
 	Seed uint64
 }
 
-// Queues bounds what waits at a router.
+// Queues limits the requests queued at a router.
 type Queues struct {
-	// PerTeam bounds one team's waiting requests per service, in requests.
-	// Default 512.
+	// PerTeam is the maximum number of requests that one team may have queued
+	// per service. Default 512.
 	PerTeam int
-	// PerTeamBytes bounds one team's waiting bodies per service, in bytes.
-	// Default 64 MiB.
+	// PerTeamBytes is the maximum size of the bodies that one team may have
+	// queued per service, in bytes. Default 64 MiB.
 	PerTeamBytes int64
-	// Total bounds all waiting requests, in requests. Default 8192.
+	// Total is the maximum number of queued requests of all teams and
+	// services. Default 8192.
 	Total int
-	// TotalBytes bounds all waiting bodies, in bytes. Default 128 MiB.
+	// TotalBytes is the maximum size of all queued bodies, in bytes.
+	// Default 128 MiB.
 	TotalBytes int64
-	// DrainWindow is the time that the measured drain rate covers.
-	// Default 10s.
+	// DrainWindow is the decay time of the measured drain rate. Default 10s.
 	DrainWindow time.Duration
-	// Grace is how long requests wait while no sidecar of the service is
-	// known, which covers the start of a router and lost links. Default 2s.
+	// Grace is how long requests are kept queued while no sidecar of the
+	// service is connected. It covers the start of a router and lost control
+	// streams. Default 2s.
 	Grace time.Duration
 }
 
-// Interest paces the control messages about waiting work.
+// Interest controls the registration of queued work with sidecars: how many
+// sidecars a queue is registered with and how often it is sent to them.
 type Interest struct {
-	// Subset is the number of sidecars at which new work is registered at
-	// once. Default 8.
+	// Subset is the number of sidecars with which a queue is registered as
+	// soon as it becomes non-empty. Default 8.
 	Subset int
-	// WidenEvery is the wait of the oldest request after which the subset
-	// doubles, again and again. Default 100ms.
+	// WidenEvery is the interval at which the subset doubles while the oldest
+	// request waits. Default 100ms.
 	WidenEvery time.Duration
-	// Slack is how many times its fair share of slots the subset of a team
-	// has to hold. Default 2.
+	// Slack is the number of slots that the subset of a team must have, as a
+	// multiple of the team's fair share of slots. Default 2.
 	Slack float64
-	// MaintainEvery is the time between looks at the registrations.
-	// Default 50ms.
+	// MaintainEvery is the interval at which registrations are widened,
+	// refreshed and withdrawn. Default 50ms.
 	MaintainEvery time.Duration
-	// RefreshEvery is the time between repeats of a registration.
-	// Default 10s.
+	// RefreshEvery is the interval at which an unchanged registration is sent
+	// again. Default 10s.
 	RefreshEvery time.Duration
-	// WithdrawAfter is how long a queue is empty before its registrations
-	// are withdrawn. Default 100ms.
+	// WithdrawAfter is how long a queue must be empty before its
+	// registrations are withdrawn. Default 100ms.
 	WithdrawAfter time.Duration
-	// PerSecond bounds the messages that may wait: widening, repeats and
-	// withdrawals, in messages per second. Default 300.
+	// PerSecond is the rate limit of deferrable messages (widening, refreshes
+	// and withdrawals), in messages per second. Default 300.
 	PerSecond float64
 }
 
 // Reorder bounds the search for a request whose prefix a backend server has
 // in its cache.
 type Reorder struct {
-	// Depth is the number of a team's first requests that are looked at; 1
-	// keeps strict order. Default 4.
+	// Depth is the number of requests at the front of a team's queue that are
+	// searched; 1 keeps strict order. Default 4.
 	Depth int
-	// MaxAge bounds how much older the overtaken request may be.
-	// Default 2s.
+	// MaxAge is how much older the overtaken request may be than the one that
+	// overtakes it. Default 2s.
 	MaxAge time.Duration
-	// MaxOvertaken bounds how often one request is overtaken. Default 8.
+	// MaxOvertaken is how often one request may be overtaken. Default 8.
 	MaxOvertaken int
 }
 
-// Retry bounds attempts beyond the first; a declined attempt is not counted.
+// Retry limits attempts beyond the first. An attempt that a sidecar declined
+// does not count.
 type Retry struct {
-	// Ratio of retries to successful requests. Default 0.1.
+	// Ratio is the number of retries added to the budget by each successful
+	// request. Default 0.1.
 	Ratio float64
-	// PerSecond is the rate of retries allowed at any load, in retries per
-	// second. Default 1.
+	// PerSecond is the number of retries per second that is always allowed,
+	// whatever the load. Default 1.
 	PerSecond float64
-	// Burst bounds the saved-up retries, in retries. Default 20.
+	// Burst is the maximum number of unused retries that accumulate.
+	// Default 20.
 	Burst float64
 }
 
-// DefaultConfig returns the documented defaults.
+// DefaultConfig returns the default of each field as documented there.
 func DefaultConfig() Config {
 	return Config{
 		Policy: PolicyPull,
@@ -148,7 +155,7 @@
 	}
 }
 
-// Validate returns an error that names each field out of range.
+// Validate returns an error that names each field that is out of range.
 func (c Config) Validate() error {
 	var err error
 	check := func(ok bool, what string) {
@@ -163,10 +170,10 @@
 	check(c.Reorder.Depth > 0, "Reorder.Depth must be positive")
 	check(c.Reorder.MaxAge >= 0, "Reorder.MaxAge must not be negative")
 	check(c.Reorder.MaxOvertaken >= 0, "Reorder.MaxOvertaken must not be negative")
-	check(c.Retry.Ratio >= 0 && c.Retry.Ratio <= 1, "Retry.Ratio must lie in 0..1")
+	check(c.Retry.Ratio >= 0 && c.Retry.Ratio <= 1, "Retry.Ratio must be between 0 and 1")
 	check(c.Retry.PerSecond >= 0, "Retry.PerSecond must not be negative")
 	check(c.Retry.Burst >= 1, "Retry.Burst must be at least 1")
-	check(c.MaxEjected >= 0 && c.MaxEjected <= 1, "MaxEjected must lie in 0..1")
+	check(c.MaxEjected >= 0 && c.MaxEjected <= 1, "MaxEjected must be between 0 and 1")
 	check(c.MaxOffers > 0, "MaxOffers must be positive")
 	check(c.DefaultShare > 0, "DefaultShare must be positive")
 	return errors.CombineErrors(err, c.Health.Validate())
--- a/coordination/dispatch/deadline.go
+++ b/coordination/dispatch/deadline.go
@@ -5,70 +5,71 @@
 	"time"
 )
 
-// deadlines orders the waiting requests that have a deadline, earliest first,
-// so that expiry costs O(log n) however much waits.
-type deadlines struct {
+// deadlineHeap is a min-heap of the queued requests that have a deadline, so
+// that expiring one costs O(log n).
+type deadlineHeap struct {
 	entries []*entry
-	at      map[*entry]int
+	// index maps each entry to its position in entries.
+	index map[*entry]int
 }
 
 // Len implements heap.Interface.
-func (d *deadlines) Len() int { return len(d.entries) }
+func (d *deadlineHeap) Len() int { return len(d.entries) }
 
 // Less implements heap.Interface.
-func (d *deadlines) Less(i, j int) bool {
+func (d *deadlineHeap) Less(i, j int) bool {
 	return d.entries[i].req.Deadline.Before(d.entries[j].req.Deadline)
 }
 
 // Swap implements heap.Interface.
-func (d *deadlines) Swap(i, j int) {
+func (d *deadlineHeap) Swap(i, j int) {
 	d.entries[i], d.entries[j] = d.entries[j], d.entries[i]
-	d.at[d.entries[i]], d.at[d.entries[j]] = i, j
+	d.index[d.entries[i]], d.index[d.entries[j]] = i, j
 }
 
 // Push implements heap.Interface.
-func (d *deadlines) Push(x any) {
-	e := x.(*entry) // only add pushes
-	d.at[e] = len(d.entries)
+func (d *deadlineHeap) Push(x any) {
+	e := x.(*entry) // only add calls heap.Push
+	d.index[e] = len(d.entries)
 	d.entries = append(d.entries, e)
 }
 
 // Pop implements heap.Interface.
-func (d *deadlines) Pop() any {
+func (d *deadlineHeap) Pop() any {
 	last := len(d.entries) - 1
 	e := d.entries[last]
 	d.entries[last] = nil
 	d.entries = d.entries[:last]
-	delete(d.at, e)
+	delete(d.index, e)
 	return e
 }
 
-func (d *deadlines) add(e *entry) {
+func (d *deadlineHeap) add(e *entry) {
 	if e.req.Deadline.IsZero() {
 		return
 	}
-	if d.at == nil {
-		d.at = map[*entry]int{}
+	if d.index == nil {
+		d.index = map[*entry]int{}
 	}
 	heap.Push(d, e)
 }
 
-func (d *deadlines) remove(e *entry) {
-	if i, ok := d.at[e]; ok {
+func (d *deadlineHeap) remove(e *entry) {
+	if i, ok := d.index[e]; ok {
 		heap.Remove(d, i)
 	}
 }
 
-// expired returns an entry whose deadline has come, or nil.
-func (d *deadlines) expired(now time.Time) *entry {
+// expired returns an entry whose deadline has been reached, or nil.
+func (d *deadlineHeap) expired(now time.Time) *entry {
 	if len(d.entries) == 0 || now.Before(d.entries[0].req.Deadline) {
 		return nil
 	}
 	return d.entries[0]
 }
 
-// expire refuses every waiting request whose deadline has come. It runs
-// before each event, so none of them is sent.
+// expire refuses every queued request whose deadline has been reached. It runs
+// before each event is applied, so that no expired request is sent.
 func (s *State) expire(now time.Time) {
 	for e := s.deadlines.expired(now); e != nil; e = s.deadlines.expired(now) {
 		s.refuse(now, s.pool(e.req.Service).queue(s, e.req.Team), e, DeadlinePassed)
--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -1,12 +1,11 @@
-// Package dispatch decides, at one router, where each request goes: it is
-// offered to a sidecar with room, or it waits in its team's queue until a
-// sidecar pulls it, or it is refused.
+// Package dispatch decides where one router sends each request: it offers the
+// request to a sidecar that has free slots, queues it per team until a sidecar
+// pulls it, or refuses it.
 //
-// The package is a pure state machine: State.Step takes an event and the time
-// and returns the actions to perform. It has no I/O, clock or goroutines. The
-// driver is transport/router.
-//
-// Routers with sidecars use it.
+// The package is a deterministic state machine without I/O, clock or
+// goroutines: State.Step takes an event and the current time and returns the
+// actions to perform. transport/router drives it in routers that have
+// sidecars.
 package dispatch
 
 import (
@@ -15,95 +14,99 @@
 	"time"
 )
 
-// seedStream separates the generator's second word from the seed.
+// seedStream is combined with the seed to form the second word of the
+// generator's state, so that the two words differ.
 const seedStream = 0x9e3779b97f4a7c15
 
-// State is the state of one router's dispatch. It must be used by one
-// goroutine at a time.
+// State is the dispatch state of one router. It is not safe for concurrent
+// use.
 type State struct {
-	cfg       Config
-	rng       *rand.Rand
-	place     placement
-	pools     map[string]*pool
-	requests  map[string]*entry
-	peers     map[string]*peer
-	shares    map[string]float64
-	routers   int
-	arrivals  uint64
-	queued    int
-	bytes     int64
-	deadlines deadlines
-	retries   bucket
-	pace      bucket
-	maintain  time.Time
-	stats     Stats
-	out       []Action
+	cfg             Config
+	rng             *rand.Rand
+	placement       placement
+	pools           map[string]*pool
+	requests        map[string]*entry
+	sidecars        map[string]*sidecar
+	shares          map[string]float64
+	routerCount     int
+	arrivals        uint64
+	queued          int
+	queuedBytes     int64
+	deadlines       deadlineHeap
+	retryBudget     bucket
+	messageBudget   bucket
+	nextMaintenance time.Time
+	stats           Stats
+	actions         []Action
 }
 
-// placement is the part of a policy that differs from the others.
+// placement is the behaviour that differs between the policies.
 type placement interface {
-	// admit places a new request or refuses it.
+	// admit sends, queues or refuses a new request.
 	admit(now time.Time, p *pool, e *entry)
-	// readmit places a request again whose attempt did not run.
+	// readmit sends, queues or refuses a request whose attempt was declined or
+	// failed.
 	readmit(now time.Time, p *pool, e *entry)
-	// roomChanged lets waiting requests use room that may have opened.
-	roomChanged(now time.Time, p *pool)
+	// capacityChanged is called when sidecars may have more free slots. It
+	// sends queued requests to them if the policy pushes.
+	capacityChanged(now time.Time, p *pool)
 }
 
-// New returns the empty state. The config must be valid.
+// New returns a State without sidecars and requests. The config must be valid.
 func New(cfg Config) *State {
 	s := &State{
-		cfg:      cfg,
-		rng:      rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^seedStream)),
-		pools:    map[string]*pool{},
-		requests: map[string]*entry{},
-		peers:    map[string]*peer{},
-		shares:   map[string]float64{},
-		routers:  1,
-		retries:  newBucket(cfg.Retry.PerSecond, cfg.Retry.Burst),
-		pace:     newBucket(cfg.Interest.PerSecond, cfg.Interest.PerSecond),
-		stats:    Stats{Refused: map[RefuseReason]uint64{}},
+		cfg:           cfg,
+		rng:           rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^seedStream)),
+		pools:         map[string]*pool{},
+		requests:      map[string]*entry{},
+		sidecars:      map[string]*sidecar{},
+		shares:        map[string]float64{},
+		routerCount:   1,
+		retryBudget:   newBucket(cfg.Retry.PerSecond, cfg.Retry.Burst),
+		messageBudget: newBucket(cfg.Interest.PerSecond, cfg.Interest.PerSecond),
+		stats:         Stats{Refused: map[RefuseReason]uint64{}},
 	}
 	switch cfg.Policy {
 	case PolicyPushFIFO:
-		s.place = pushFIFO{s}
+		s.placement = pushFIFO{s}
 	case PolicyPushFair:
-		s.place = pushFair{s}
+		s.placement = pushFair{s}
 	default:
-		s.place = pull{s}
+		s.placement = pull{s}
 	}
 	return s
 }
 
-// entry is one request that has not ended.
+// entry is a request that is queued or in flight.
 type entry struct {
 	req     Request
 	arrived time.Time
-	// number orders the requests by arrival.
-	number uint64
-	// waiting is the entry's place in its queue, nil while it is sent.
-	waiting *list.Element
-	// sidecar that holds the last attempt, empty while the entry waits.
+	// sequence orders the requests by arrival.
+	sequence uint64
+	// element is the entry's position in its queue, nil while it is in flight.
+	element *list.Element
+	// sidecar runs the current attempt. It is empty while the entry is queued.
 	sidecar string
-	// avoid is the sidecar of a failed attempt, which gets the request again
-	// only after avoidUntil.
+	// avoid is the sidecar at which the last attempt failed. It is not sent
+	// the request again before avoidUntil.
 	avoid      string
 	avoidUntil time.Time
-	offers     int
-	// overtaken counts the requests that went before it out of order.
+	// offers is the number of times that the request was offered.
+	offers int
+	// overtaken is the number of requests behind it that were sent first.
 	overtaken int
 }
 
 // Step applies one event at the time now and returns the actions to perform,
-// in order. The slice is valid until the next call.
+// in order. The returned slice is valid until the next call.
 func (s *State) Step(now time.Time, ev Event) []Action {
-	s.out = s.out[:0]
+	s.actions = s.actions[:0]
 	s.expire(now)
 	switch ev := ev.(type) {
 	case Arrived:
-		s.arrive(now, ev.Request)
+		s.arrived(now, ev.Request)
 	case Withdrawn:
-		s.withdrawn(now, ev)
+		s.cancelled(now, ev)
 	case Ended:
 		s.ended(now, ev)
 	case SidecarUp:
@@ -111,7 +114,7 @@
 	case SidecarDown:
 		s.sidecarDown(now, ev.Sidecar)
 	case LoadReported:
-		s.load(now, ev)
+		s.loadReported(now, ev)
 	case Pulled:
 		s.pulled(now, ev)
 	case Declined:
@@ -123,75 +126,79 @@
 	case SharesSet:
 		s.shares = ev.Shares
 	case RoutersSeen:
-		s.routers = max(ev.Count, 1)
+		s.routerCount = max(ev.Count, 1)
 	case Ticked:
-		s.tick(now)
+		s.ticked(now)
 	}
-	return s.out
+	return s.actions
 }
 
-func (s *State) emit(a Action) { s.out = append(s.out, a) }
+func (s *State) emit(a Action) { s.actions = append(s.actions, a) }
 
-func (s *State) share(team string) float64 {
+func (s *State) shareOf(team string) float64 {
 	if w := s.shares[team]; w > 0 {
 		return w
 	}
 	return s.cfg.DefaultShare
 }
 
-// send starts an attempt. A pull of 0 marks an offer.
-func (s *State) send(e *entry, c *peer, pull uint64) {
-	e.sidecar = c.id
-	s.pool(c.service).affinity.note(e.req.Prefix, c.id)
-	c.inFlight++
-	c.since++
-	s.emit(Send{ID: e.req.ID, Sidecar: c.id, Pull: pull})
+// send starts an attempt at the sidecar. The pull is 0 for an offer.
+func (s *State) send(e *entry, sc *sidecar, pull uint64) {
+	e.sidecar = sc.id
+	s.pool(sc.service).affinity.record(e.req.Prefix, sc.id)
+	sc.inFlight++
+	sc.sentSinceReport++
+	s.emit(Send{ID: e.req.ID, Sidecar: sc.id, Pull: pull})
 }
 
-// release ends the attempt's hold on its sidecar.
+// release ends the entry's attempt: it frees the slot at the sidecar, and
+// abandons the attempt's probe if it has no result yet.
 func (s *State) release(e *entry) {
-	if c := s.peers[e.sidecar]; c != nil {
-		c.inFlight = max(c.inFlight-1, 0)
-		if c.reported > 0 {
-			c.free = min(c.free+1, c.slots)
+	if sc := s.sidecars[e.sidecar]; sc != nil {
+		sc.inFlight = max(sc.inFlight-1, 0)
+		if sc.reportedFree > 0 {
+			sc.free = min(sc.free+1, sc.slots)
 		}
-		if c.probe == e.req.ID {
-			c.endProbe()
+		if sc.probeID == e.req.ID {
+			sc.abandonProbe()
 		}
 	}
 	e.sidecar = ""
 }
 
-// drop forgets a request that waits or is sent.
-func (s *State) drop(now time.Time, id string) {
+// remove deletes a request that is queued or in flight.
+func (s *State) remove(now time.Time, id string) {
 	e := s.requests[id]
 	if e == nil {
 		return
 	}
 	delete(s.requests, id)
 	p := s.pool(e.req.Service)
-	if e.waiting != nil {
-		s.unqueue(now, p, e)
+	if e.element != nil {
+		s.dequeue(now, p, e)
 		return
 	}
 	s.release(e)
-	s.place.roomChanged(now, p)
+	s.placement.capacityChanged(now, p)
 }
 
-// withdrawn forgets a request. A pull that it was to answer gets the next one,
-// so that the sidecar does not wait for an attempt that never comes.
-func (s *State) withdrawn(now time.Time, ev Withdrawn) {
+// cancelled deletes a request. If its attempt was to answer a pull, the pull is
+// answered with the next request, so that the sidecar does not wait for an
+// attempt that never starts.
+func (s *State) cancelled(now time.Time, ev Withdrawn) {
 	e := s.requests[ev.ID]
 	if e == nil {
 		return
 	}
 	sidecar := e.sidecar
-	s.drop(now, ev.ID)
+	s.remove(now, ev.ID)
 	if ev.Pull != 0 && sidecar != "" {
 		s.pulled(now, Pulled{Sidecar: sidecar, Pull: ev.Pull, Team: e.req.Team})
 	}
 }
 
+// ended deletes a request and corrects its team's served cost from the estimate
+// to the actual cost.
 func (s *State) ended(now time.Time, ev Ended) {
 	e := s.requests[ev.ID]
 	if e == nil {
@@ -199,21 +206,21 @@
 	}
 	if ev.Cost > 0 {
 		q := s.pool(e.req.Service).queue(s, e.req.Team)
-		q.served += ev.Cost - e.req.Estimate
+		q.servedCost += ev.Cost - e.req.Estimate
 	}
-	s.drop(now, ev.ID)
+	s.remove(now, ev.ID)
 }
 
-// tick lets time pass: deadlines were looked at before.
-func (s *State) tick(now time.Time) {
+// ticked does the periodic work. Step has already expired the deadlines.
+func (s *State) ticked(now time.Time) {
 	s.refuseUnserved(now)
-	if now.Before(s.maintain) {
+	if now.Before(s.nextMaintenance) {
 		return
 	}
-	s.maintain = now.Add(s.cfg.Interest.MaintainEvery)
+	s.nextMaintenance = now.Add(s.cfg.Interest.MaintainEvery)
 	for _, p := range s.sortedPools() {
 		s.maintainPool(now, p)
-		p.settle()
-		s.place.roomChanged(now, p)
+		p.deactivateIdle()
+		s.placement.capacityChanged(now, p)
 	}
 }
--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -14,7 +14,7 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// fixture drives a core with a clock that only moves when told.
+// fixture drives a State with a manual clock.
 type fixture struct {
 	*dispatch.State
 	now time.Time
@@ -32,7 +32,7 @@
 	return append([]dispatch.Action(nil), f.Step(f.now, ev)...)
 }
 
-// after lets time pass in ticks and returns what happened meanwhile.
+// after advances the clock with a tick every 20ms and returns the actions.
 func (f *fixture) after(d time.Duration) []dispatch.Action {
 	var out []dispatch.Action
 	for end := f.now.Add(d); f.now.Before(end); {
@@ -42,7 +42,7 @@
 	return out
 }
 
-// sidecars opens n sidecars with so many slots, of which some are free.
+// sidecars connects n sidecars with the given total and free slots.
 func (f *fixture) sidecars(n, slots, free int) {
 	for i := range n {
 		f.step(dispatch.SidecarUp{Sidecar: sidecar(i), Service: service})
@@ -58,7 +58,7 @@
 	return f.step(dispatch.Arrived{Request: request(team, id)})
 }
 
-// fill lets n requests of the team arrive.
+// fill adds n requests of the team.
 func (f *fixture) fill(team string, n int) {
 	for i := range n {
 		f.arrive(team, fmt.Sprintf("%s-%d", team, i))
@@ -82,7 +82,7 @@
 	return out
 }
 
-func TestConfigNamesWhatIsOutOfRange(t *testing.T) {
+func TestConfigValidate(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(dispatch.DefaultConfig().Validate(), qt.IsNil)
 	bad := dispatch.DefaultConfig()
@@ -90,7 +90,7 @@
 	c.Assert(bad.Validate(), qt.ErrorMatches, "Policy must be.*")
 }
 
-func TestDeclinedRequestKeepsItsAge(t *testing.T) {
+func TestDeclinedRequestKeepsArrivalOrder(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(nil)
 	f.sidecars(1, 2, 2)
@@ -100,14 +100,14 @@
 	f.now = f.now.Add(time.Second)
 	f.step(dispatch.Declined{ID: "old", Sidecar: sidecar(0)})
 	c.Assert(f.Waiting(), qt.Equals, 4)
-	for range 3 { // a decline does no harm however often it comes
+	for range 3 { // the number of declines is not limited
 		sent := f.step(dispatch.Pulled{Sidecar: sidecar(0), Pull: 1, Team: "a"})
 		c.Assert(sent, qt.DeepEquals, []dispatch.Action{dispatch.Send{ID: "old", Sidecar: sidecar(0), Pull: 1}})
 		f.step(dispatch.Declined{ID: "old", Sidecar: sidecar(0)})
 	}
 }
 
-func TestOfferedOnlyWhereRoomIsKnown(t *testing.T) {
+func TestOffersOnlyToSidecarsWithFreeSlots(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(nil)
 	f.sidecars(2, 1, 1)
@@ -118,10 +118,10 @@
 	c.Assert(only[dispatch.Send](f.arrive("a", "3")), qt.HasLen, 0)
 	f.step(dispatch.Pulled{Sidecar: sidecar(0), Pull: 1, Team: "a"})
 	f.step(dispatch.Ended{ID: "1"})
-	c.Assert(only[dispatch.Send](f.arrive("a", "4")), qt.HasLen, 1, qt.Commentf("an ended attempt gives its room back"))
+	c.Assert(only[dispatch.Send](f.arrive("a", "4")), qt.HasLen, 1, qt.Commentf("an ended attempt frees its slot"))
 }
 
-func TestOneTeamsFloodFillsOnlyItsOwnQueue(t *testing.T) {
+func TestFullQueueOfOneTeamDoesNotBlockOthers(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(func(cfg *dispatch.Config) { cfg.Queues.PerTeam, cfg.Queues.Total = 10, 25 })
 	f.sidecars(1, 1, 0)
@@ -131,15 +131,15 @@
 	c.Assert(refused[0].Reason, qt.Equals, dispatch.QueueFull)
 	f.fill("second", 10)
 	f.fill("third", 5)
-	// The router is full; the team with the most waiting gives way.
-	light := f.arrive("light", "light-0")
-	c.Assert(only[dispatch.Refuse](light), qt.HasLen, 1)
-	c.Assert(only[dispatch.Refuse](light)[0].ID, qt.Equals, "flood-9")
+	// The router is full; the newest request of the largest queue is evicted.
+	actions := f.arrive("light", "light-0")
+	c.Assert(only[dispatch.Refuse](actions), qt.HasLen, 1)
+	c.Assert(only[dispatch.Refuse](actions)[0].ID, qt.Equals, "flood-9")
 	c.Assert(f.WaitingBy()[service], qt.DeepEquals, map[string]int{"flood": 9, "second": 10, "third": 5, "light": 1})
 	c.Assert(only[dispatch.Refuse](f.arrive("flood", "again"))[0].ID, qt.Equals, "again")
 }
 
-func TestReturnedRequestDrivesOutTheNewest(t *testing.T) {
+func TestDeclinedRequestEvictsNewest(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(func(cfg *dispatch.Config) { cfg.Queues.PerTeam = 2 })
 	f.sidecars(1, 1, 1)
@@ -153,7 +153,7 @@
 	c.Assert(f.Waiting(), qt.Equals, 2)
 }
 
-// drain lets the sidecar pull one request of the team every step, n times.
+// drain lets the first sidecar pull n requests of the team, one per interval.
 func (f *fixture) drain(team string, n int, every time.Duration) {
 	for range n {
 		f.after(every)
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestRefusedAtOnceWhenTheWaitPassesTheDeadline(t *testing.T) {
+func TestRefusesWhenEstimatedWaitExceedsDeadline(t *testing.T) {
 	for name, test := range map[string]struct {
 		waiting  int
 		deadline time.Duration
@@ -177,7 +177,7 @@
 			f := newFixture(nil)
 			f.sidecars(1, 1, 0)
 			f.fill("a", test.waiting+10)
-			f.drain("a", 10, 500*time.Millisecond) // two a second
+			f.drain("a", 10, 500*time.Millisecond) // two per second
 			r := request("a", "late")
 			r.Deadline = f.now.Add(test.deadline)
 			got := only[dispatch.Refuse](f.step(dispatch.Arrived{Request: r}))
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestRetryAfterFollowsTheDrainRate(t *testing.T) {
+func TestRetryAfterFollowsDrainRate(t *testing.T) {
 	c := qt.New(t)
 	hints := map[time.Duration]time.Duration{}
 	for _, every := range []time.Duration{100 * time.Millisecond, time.Second, 20 * time.Second} {
@@ -212,7 +212,7 @@
 	c.Assert(hints[20*time.Second], qt.Equals, time.Minute)
 }
 
-func TestDeadlineExpiresAtOnce(t *testing.T) {
+func TestExpiredRequestsAreRefused(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(nil)
 	f.sidecars(1, 1, 0)
@@ -225,13 +225,13 @@
 	got := only[dispatch.Refuse](f.step(dispatch.Ticked{}))
 	c.Assert(got, qt.HasLen, 2)
 	c.Assert([]string{got[0].ID, got[1].ID}, qt.DeepEquals, []string{"4", "3"})
-	// No expired request is sent, also without a tick before the pull.
+	// No expired request is sent, even without a tick before the pull.
 	f.now = f.now.Add(2 * time.Second)
 	sent := only[dispatch.Send](f.step(dispatch.Pulled{Sidecar: sidecar(0), Pull: 1, Team: "a"}))
 	c.Assert(sent, qt.DeepEquals, []dispatch.Send{{ID: "0", Sidecar: sidecar(0), Pull: 1}})
 }
 
-func TestNoSidecarIsRefusedAfterTheGrace(t *testing.T) {
+func TestRefusesAfterGraceWithoutSidecar(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(nil)
 	c.Assert(only[dispatch.Refuse](f.arrive("a", "early")), qt.HasLen, 0)
@@ -244,7 +244,7 @@
 	c.Assert(only[dispatch.Refuse](f.arrive("a", "later")), qt.HasLen, 1)
 }
 
-func TestWithdrawnRequestFreesItsPlace(t *testing.T) {
+func TestCancelledRequestFreesQueueSpace(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(func(cfg *dispatch.Config) { cfg.Queues.PerTeam = 1 })
 	f.sidecars(1, 1, 0)
@@ -255,7 +255,7 @@
 	c.Assert(sent[0].ID, qt.Equals, "2")
 }
 
-func TestPullOfAWithdrawnRequestGetsTheNextOne(t *testing.T) {
+func TestPullOfCancelledRequestGetsNextRequest(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(nil)
 	f.sidecars(1, 1, 0)
@@ -299,7 +299,7 @@
 	}
 }
 
-func TestNobodyIsOvertakenForEver(t *testing.T) {
+func TestOvertakingIsBounded(t *testing.T) {
 	f := newFixture(nil)
 	f.sidecars(1, 1, 0)
 	f.arrive("a", "plain")
@@ -317,7 +317,7 @@
 	}
 }
 
-func TestOffersGoWhereThePrefixIsWarm(t *testing.T) {
+func TestOffersPreferSidecarWithCachedPrefix(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(nil)
 	f.sidecars(8, 4, 4)
@@ -329,7 +329,7 @@
 	first := offer("0", 5)
 	c.Assert(offer("1", 5), qt.Equals, first)
 	c.Assert(offer("2", 5), qt.Equals, first)
-	f.step(dispatch.LoadReported{Sidecar: first, Slots: 4}) // others took the rest
+	f.step(dispatch.LoadReported{Sidecar: first, Slots: 4}) // all slots are in use by other routers
 	moved := offer("3", 5)
 	c.Assert(moved, qt.Not(qt.Equals), first)
 	c.Assert(offer("4", 5), qt.Equals, moved)
--- a/coordination/dispatch/drain.go
+++ b/coordination/dispatch/drain.go
@@ -5,61 +5,68 @@
 	"time"
 )
 
-// knownAfter is the number of departures after which the measured rate is
-// trusted for refusals.
-const knownAfter = 3
+// minDepartures is the number of departures after which the measured rate is
+// accurate enough to refuse requests by it.
+const minDepartures = 3
 
-// drain measures the rate at which a queue is served: departures per second
-// of the time in which something waited. Both are decayed over the window, so
-// idle time does not look like slow service.
-type drain struct {
+// drainRate measures the rate at which a queue is served, in departures per
+// second of the time during which the queue was not empty. Idle time is left
+// out, so that it does not look like slow service.
+type drainRate struct {
+	// window is the decay time of departures and busy, in seconds.
 	window float64
-	served float64
-	busy   float64
-	total  int
-	at     time.Time
+	// departures is the decayed number of departures.
+	departures float64
+	// busy is the decayed time during which the queue was not empty, in
+	// seconds.
+	busy float64
+	// total is the number of departures without decay.
+	total int
+	// updated is the time up to which busy is counted.
+	updated time.Time
 }
 
-func newDrain(window time.Duration) drain { return drain{window: window.Seconds()} }
+func newDrainRate(window time.Duration) drainRate { return drainRate{window: window.Seconds()} }
 
-// advance lets time pass up to now, during which the queue was busy or not.
-func (d *drain) advance(now time.Time, busy bool) {
-	if d.at.IsZero() {
-		d.at = now
+// advance accounts for the time since the last call, during which the queue was
+// not empty (busy) or empty.
+func (d *drainRate) advance(now time.Time, busy bool) {
+	if d.updated.IsZero() {
+		d.updated = now
 	}
-	passed := now.Sub(d.at).Seconds()
+	passed := now.Sub(d.updated).Seconds()
 	if passed <= 0 {
 		return
 	}
-	d.at = now
-	keep := math.Exp(-passed / d.window)
-	d.served *= keep
-	d.busy *= keep
+	d.updated = now
+	decay := math.Exp(-passed / d.window)
+	d.departures *= decay
+	d.busy *= decay
 	if busy {
-		d.busy += d.window * (1 - keep)
+		d.busy += d.window * (1 - decay)
 	}
 }
 
-// departed counts a request that was served.
-func (d *drain) departed() {
-	d.served++
+// recordDeparture counts a request that was taken from the queue to be served.
+func (d *drainRate) recordDeparture() {
+	d.departures++
 	d.total++
 }
 
-// known reports whether enough was served to trust the rate.
-func (d *drain) known() bool { return d.total >= knownAfter }
+// known reports whether there were enough departures to rely on the rate.
+func (d *drainRate) known() bool { return d.total >= minDepartures }
 
-// wait estimates the time until n requests are served. Before anything was
-// served it is the time that passed in vain.
-func (d *drain) wait(n int) time.Duration {
+// estimateWait estimates the time until n requests are served. Before the first
+// departure it returns the time during which requests have been queued.
+func (d *drainRate) estimateWait(n int) time.Duration {
 	if n <= 0 || d.busy <= 0 {
 		return 0
 	}
-	seconds := float64(n) * d.busy / d.served
+	seconds := float64(n) * d.busy / d.departures
 	if d.total == 0 {
 		seconds = d.busy
 	}
-	if limit := (longestRetryAfter * 1000).Seconds(); !(seconds < limit) {
+	if limit := (maxRetryAfter * 1000).Seconds(); !(seconds < limit) {
 		seconds = limit
 	}
 	return time.Duration(seconds * float64(time.Second))
--- a/coordination/dispatch/eject.go
+++ b/coordination/dispatch/eject.go
@@ -6,67 +6,70 @@
 	"goldcrestport/coordination/health"
 )
 
-// avoidFor is how long a request waits for another sidecar than the one at
-// which it failed. It is bounded, so that a free one does not idle for ever.
+// avoidFor is how long a failed request avoids the sidecar at which it failed.
+// It is limited so that a sidecar with free slots does not stay idle while the
+// request is queued.
 const avoidFor = time.Second
 
-// avoids reports whether the request is not to go to the sidecar now.
-func (e *entry) avoids(now time.Time, c *peer) bool {
-	return e.avoid == c.id && now.Before(e.avoidUntil)
+// avoids reports whether the request must not be sent to the sidecar now.
+func (e *entry) avoids(now time.Time, sc *sidecar) bool {
+	return e.avoid == sc.id && now.Before(e.avoidUntil)
 }
 
-// failed counts a failed attempt and, if asked, places the request again
-// within the retry budget.
+// failed records a failed attempt and, if a retry is requested, readmits the
+// request if the retry budget allows it.
 func (s *State) failed(now time.Time, ev Failed) {
-	s.record(now, ev.Sidecar, ev.ID, health.Failure)
+	s.recordResult(now, ev.Sidecar, ev.ID, health.Failure)
 	e := s.requests[ev.ID]
-	if !ev.Retry || e == nil || e.waiting != nil {
+	if !ev.Retry || e == nil || e.element != nil {
 		return
 	}
 	s.release(e)
 	e.avoid, e.avoidUntil = ev.Sidecar, now.Add(avoidFor)
-	if !s.retries.take(now) {
+	if !s.retryBudget.take(now) {
 		s.refuse(now, s.pool(e.req.Service).queue(s, e.req.Team), e, RetryDenied)
 		return
 	}
 	s.stats.Retries++
-	s.placeAgain(now, e)
+	s.readmit(now, e)
 }
 
-// succeeded counts an answer: it earns a part of a retry.
+// succeeded records a successful attempt and adds Retry.Ratio to the retry
+// budget.
 func (s *State) succeeded(now time.Time, ev Succeeded) {
-	s.retries.give(s.cfg.Retry.Ratio)
-	s.record(now, ev.Sidecar, ev.ID, health.Success)
+	s.retryBudget.add(s.cfg.Retry.Ratio)
+	s.recordResult(now, ev.Sidecar, ev.ID, health.Success)
 }
 
-// record counts a result at the sidecar and ejects or re-admits it.
-func (s *State) record(now time.Time, sidecar, id string, r health.Result) {
-	c := s.peers[sidecar]
-	if c == nil {
+// recordResult records the result of an attempt at the sidecar, and ejects or
+// re-admits the sidecar accordingly.
+func (s *State) recordResult(now time.Time, sidecar, id string, r health.Result) {
+	sc := s.sidecars[sidecar]
+	if sc == nil {
 		return
 	}
-	if c.probe == id && id != "" {
-		c.probe = ""
-		c.health.ProbeEnded(now, r)
+	if sc.probeID == id && id != "" {
+		sc.probeID = ""
+		sc.health.ProbeEnded(now, r)
 		return
 	}
-	c.health.Record(r)
-	p := s.pool(c.service)
-	if s.cfg.Policy == PolicyPull && c.health.Suspect() && s.mayEject(p, c) {
-		c.health.Eject(now)
+	sc.health.Record(r)
+	p := s.pool(sc.service)
+	if s.cfg.Policy == PolicyPull && sc.health.Suspect() && s.mayEject(p, sc) {
+		sc.health.Eject(now)
 		s.stats.Ejections++
-		s.forget(p, c)
-		s.coverAll(now, p)
+		s.withdrawAll(p, sc)
+		s.coverPool(now, p)
 	}
 }
 
-// mayEject reports whether the sidecar is an outlier in its pool and enough
-// others stay. If all fail alike, the fault is not the sidecar's.
-func (s *State) mayEject(p *pool, c *peer) bool {
+// mayEject reports whether the sidecar is an outlier in its pool and enough other
+// sidecars remain. If all fail at a similar rate, the cause is not this sidecar.
+func (s *State) mayEject(p *pool, sc *sidecar) bool {
 	ejected, others, rates := 0, 0, 0.0
-	for _, o := range p.peers {
+	for _, o := range p.sidecars {
 		switch {
-		case o == c || o.leaving:
+		case o == sc || o.draining:
 		case o.health.Ejected():
 			ejected++
 		default:
@@ -78,40 +81,42 @@
 	if others == 0 || float64(ejected+1) > s.cfg.MaxEjected*float64(ejected+others+1) {
 		return false
 	}
-	own, _ := c.health.Rate()
+	own, _ := sc.health.Rate()
 	return rates/float64(others) < own/2
 }
 
-// pickProbe returns a request that tries an ejected sidecar, one at a time.
-func (s *State) pickProbe(now time.Time, q *queue, c *peer) *entry {
-	if !c.health.ProbeDue(now) {
+// pickProbe returns a queued request to send to an ejected sidecar as a probe,
+// or nil if no probe is due. Only one probe is in flight at a time.
+func (s *State) pickProbe(now time.Time, q *queue, sc *sidecar) *entry {
+	if !sc.health.ProbeDue(now) {
 		return nil
 	}
-	e := s.probeOf(q)
-	c.probe = e.req.ID
-	c.health.ProbeSent()
+	e := s.chooseProbe(q)
+	sc.probeID = e.req.ID
+	sc.health.ProbeSent()
 	return e
 }
 
-// offerProbe returns an ejected sidecar that the new request is to probe, or
-// nil. Only an idempotent one probes by an offer.
-func (s *State) offerProbe(now time.Time, p *pool, e *entry) *peer {
+// offerProbe returns an ejected sidecar to which the new request is offered as a
+// probe, or nil. Only idempotent requests are offered as probes.
+func (s *State) offerProbe(now time.Time, p *pool, e *entry) *sidecar {
 	if !e.req.Idempotent || e.offers > 0 {
 		return nil
 	}
-	for _, c := range p.peers {
-		if !c.leaving && c.free > 0 && !e.avoids(now, c) && c.health.ProbeDue(now) {
-			c.probe = e.req.ID
-			c.health.ProbeSent()
-			return c
+	for _, sc := range p.sidecars {
+		if !sc.draining && sc.free > 0 && !e.avoids(now, sc) && sc.health.ProbeDue(now) {
+			sc.probeID = e.req.ID
+			sc.health.ProbeSent()
+			return sc
 		}
 	}
 	return nil
 }
 
-// probeOf prefers an idempotent request, which may be tried again elsewhere.
-func (s *State) probeOf(q *queue) *entry {
-	el := q.waiting.Front()
+// chooseProbe returns the queued request to use as a probe. It prefers an
+// idempotent one within Reorder.Depth, which can be retried elsewhere.
+func (s *State) chooseProbe(q *queue) *entry {
+	el := q.entries.Front()
 	for i := 0; i < s.cfg.Reorder.Depth && el != nil; i++ {
 		if e := entryOf(el); e.req.Idempotent {
 			return e
@@ -121,21 +126,21 @@
 	return q.oldest()
 }
 
-// endProbe closes a probe that told nothing of the backend server.
-func (c *peer) endProbe() {
-	c.probe = ""
-	c.health.ProbeEnded(time.Time{}, health.NoResult)
+// abandonProbe ends a probe that gave no result about the backend server.
+func (sc *sidecar) abandonProbe() {
+	sc.probeID = ""
+	sc.health.ProbeEnded(time.Time{}, health.NoResult)
 }
 
-// probeInterest registers the work that waits longest with each ejected
+// registerProbes registers the queue that has waited longest with each ejected
 // sidecar whose probe is due.
-func (s *State) probeInterest(now time.Time, p *pool) {
-	for _, c := range p.peers {
-		if c.leaving || !c.health.ProbeDue(now) {
+func (s *State) registerProbes(now time.Time, p *pool) {
+	for _, sc := range p.sidecars {
+		if sc.draining || !sc.health.ProbeDue(now) {
 			continue
 		}
-		if q := p.longestWait(now); q != nil && q.seen[c.id] == nil {
-			s.register(now, q, c)
+		if q := p.longestWait(now); q != nil && q.registrations[sc.id] == nil {
+			s.register(now, q, sc)
 		}
 	}
 }
@@ -144,7 +149,7 @@
 func (p *pool) longestWait(now time.Time) *queue {
 	var best *queue
 	for _, q := range p.active {
-		if q.len() > 0 && (best == nil || q.wait(now) > best.wait(now)) {
+		if q.len() > 0 && (best == nil || q.oldestWait(now) > best.oldestWait(now)) {
 			best = q
 		}
 	}
--- a/coordination/dispatch/eject_test.go
+++ b/coordination/dispatch/eject_test.go
@@ -10,7 +10,7 @@
 	"goldcrestport/coordination/dispatch"
 )
 
-// fail lets attempts at the sidecar fail n times.
+// fail reports n failed attempts at the sidecar.
 func (f *fixture) fail(i, n int) {
 	for range n {
 		f.step(dispatch.Failed{ID: "", Sidecar: sidecar(i)})
@@ -26,8 +26,8 @@
 	f.fill("a", 20)
 	pull := dispatch.Pulled{Sidecar: sidecar(0), Pull: 1, Team: "a"}
 	c.Assert(only[dispatch.Empty](f.step(pull)), qt.HasLen, 1)
-	view := registered(map[string]int{}, f.after(1100*time.Millisecond))
-	c.Assert(view[sidecar(0)] > 0, qt.IsTrue, qt.Commentf("a due probe needs work to pull"))
+	counts := applyRegistrations(map[string]int{}, f.after(1100*time.Millisecond))
+	c.Assert(counts[sidecar(0)] > 0, qt.IsTrue, qt.Commentf("the sidecar whose probe is due has no registration to pull from"))
 	for probe := range 3 {
 		sent := only[dispatch.Send](f.step(pull))
 		c.Assert(sent, qt.HasLen, 1, qt.Commentf("probe %d", probe))
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestWhoIsEjected(t *testing.T) {
+func TestEjectsOutliers(t *testing.T) {
 	for name, test := range map[string]struct {
 		pool  int
 		fails []int
@@ -75,7 +75,7 @@
 			f := newFixture(nil)
 			f.sidecars(test.pool, 4, 0)
 			for i, n := range test.fails {
-				for range 10 { // a history of successes
+				for range 10 { // earlier successes
 					f.step(dispatch.Succeeded{Sidecar: sidecar(i)})
 				}
 				f.fail(i, n)
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestNobodyIsAnOutlierWhenAllFailAlike(t *testing.T) {
+func TestNoEjectionWhenAllFailAlike(t *testing.T) {
 	f := newFixture(nil)
 	f.sidecars(4, 4, 0)
 	for range 20 {
@@ -96,15 +96,15 @@
 	qt.Assert(t, f.Stats().Ejected, qt.Equals, 0)
 }
 
-func TestWorkMovesFromASidecarThatTakesNoneAnyMore(t *testing.T) {
-	for name, stop := range map[string]func(f *fixture, id string) []dispatch.Action{
+func TestWorkMovesFromUnavailableSidecar(t *testing.T) {
+	for name, disable := range map[string]func(f *fixture, id string) []dispatch.Action{
 		"ejected": func(f *fixture, id string) []dispatch.Action {
 			for range 4 {
 				f.step(dispatch.Failed{Sidecar: id})
 			}
 			return f.step(dispatch.Failed{Sidecar: id})
 		},
-		"leaving": func(f *fixture, id string) []dispatch.Action {
+		"draining": func(f *fixture, id string) []dispatch.Action {
 			return f.step(dispatch.LoadReported{Sidecar: id, Slots: 4, Leaving: true})
 		},
 	} {
@@ -112,11 +112,11 @@
 			c := qt.New(t)
 			f := newFixture(func(cfg *dispatch.Config) { cfg.Interest.Subset = 1 })
 			f.sidecars(3, 4, 0)
-			known := only[dispatch.Register](f.arrive("a", "0"))
-			c.Assert(known, qt.HasLen, 1)
-			moved := only[dispatch.Register](stop(f, known[0].Sidecar))
+			first := only[dispatch.Register](f.arrive("a", "0"))
+			c.Assert(first, qt.HasLen, 1)
+			moved := only[dispatch.Register](disable(f, first[0].Sidecar))
 			c.Assert(moved, qt.HasLen, 2)
-			c.Assert(moved[0], qt.Equals, dispatch.Register{Sidecar: known[0].Sidecar, Team: "a"})
+			c.Assert(moved[0], qt.Equals, dispatch.Register{Sidecar: first[0].Sidecar, Team: "a"})
 			c.Assert(moved[1].Count, qt.Equals, 1)
 		})
 	}
@@ -160,7 +160,7 @@
 	c.Assert(only[dispatch.Refuse](try("4")), qt.HasLen, 0, qt.Commentf("ten successes earn a retry"))
 }
 
-func TestRetryGoesElsewhere(t *testing.T) {
+func TestRetryAvoidsFailedSidecar(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(nil)
 	f.sidecars(2, 1, 0)
@@ -172,8 +172,9 @@
 	c.Assert(only[dispatch.Send](f.step(dispatch.Pulled{Sidecar: sidecar(0), Pull: 3, Team: "a"})), qt.HasLen, 1)
 }
 
-// A sidecar may not idle for ever beside a request that failed there.
-func TestRetryComesBackIfNothingElseTakesIt(t *testing.T) {
+// A sidecar must not stay idle for good while the only queued request is one that
+// failed there: after a second the request may be sent there again.
+func TestRetryReturnsToFailedSidecarAfterDelay(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(nil)
 	f.sidecars(2, 1, 0)
@@ -182,7 +183,7 @@
 	f.step(dispatch.Failed{ID: "0", Sidecar: sidecar(0), Retry: true})
 	f.step(dispatch.Pulled{Sidecar: sidecar(0), Pull: 2, Team: "a"})
 	f.after(1100 * time.Millisecond)
-	told := only[dispatch.Register](f.load(0, 1, 1))
-	c.Assert(told, qt.HasLen, 1)
+	registrations := only[dispatch.Register](f.load(0, 1, 1))
+	c.Assert(registrations, qt.HasLen, 1)
 	c.Assert(only[dispatch.Send](f.step(dispatch.Pulled{Sidecar: sidecar(0), Pull: 3, Team: "a"})), qt.HasLen, 1)
 }
--- a/coordination/dispatch/event.go
+++ b/coordination/dispatch/event.go
@@ -2,22 +2,25 @@
 
 import "time"
 
-// Request is what the decision needs to know of a request.
+// Request holds the attributes of a request on which its placement depends.
 type Request struct {
 	ID      string
 	Service string
 	Team    string
-	// Bytes of the body, counted against the queue bounds.
+	// Bytes is the size of the body. It counts against the queue limits.
 	Bytes int64
-	// Estimate of the cost, in cost units.
+	// Estimate is the expected cost, in cost units.
 	Estimate float64
-	// Deadline after which the caller has no use of the answer; zero for none.
+	// Deadline is the time after which the caller no longer needs the
+	// response; zero for none.
 	Deadline time.Time
-	// Idempotent requests are preferred as probes.
+	// Idempotent requests can be retried safely and are preferred as probe
+	// requests.
 	Idempotent bool
-	// Prefix is the hash of the begin of the prompt, 0 for none.
+	// Prefix is the hash of the prompt's prefix, 0 for none.
 	Prefix uint64
-	// MaxQueued and MaxQueuedBytes override the defaults if positive.
+	// MaxQueued and MaxQueuedBytes override Queues.PerTeam and
+	// Queues.PerTeamBytes if positive.
 	MaxQueued      int
 	MaxQueuedBytes int64
 }
@@ -25,79 +28,83 @@
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Arrived is a new request. Its ID is unique.
+// Arrived reports a new request. Its ID must be unique.
 type Arrived struct{ Request Request }
 
-// Withdrawn is a request whose caller is gone.
+// Withdrawn reports a request that its caller has cancelled.
 type Withdrawn struct {
 	ID string
-	// Pull that was answered with the request, if its attempt was not
-	// started; 0 for none.
+	// Pull is the pull that was answered with the request, if the attempt has
+	// not started; 0 for none.
 	Pull uint64
 }
 
-// SidecarUp is a control stream that opened.
+// SidecarUp reports that the control stream of a sidecar has opened.
 type SidecarUp struct{ Sidecar, Service string }
 
-// SidecarDown is a control stream that ended.
+// SidecarDown reports that the control stream of a sidecar has ended.
 type SidecarDown struct{ Sidecar string }
 
-// LoadReported is a sidecar's own view of its room.
+// LoadReported is a load report of a sidecar.
 type LoadReported struct {
 	Sidecar string
 	Slots   int
 	Free    int
 	// Waiting is the number of attempts queued at the sidecar.
 	Waiting int
+	// Leaving reports that the sidecar is draining and accepts no new work.
 	Leaving bool
-	// Ejected tells that the sidecar itself found its backend server failing.
+	// Ejected reports that the sidecar itself has ejected its backend server
+	// because its requests failed.
 	Ejected bool
 }
 
-// Pulled is a sidecar that asks for one request of a team.
+// Pulled reports that a sidecar asks for one request of a team.
 type Pulled struct {
 	Sidecar string
 	Pull    uint64
 	Team    string
-	// Prefixes that the backend server served last.
+	// Prefixes are the prompt prefixes that the backend server served most
+	// recently and is likely to have cached.
 	Prefixes []uint64
 }
 
-// Declined is an attempt that a sidecar did not take and will not run.
+// Declined reports an attempt that a sidecar rejected and will not run. Free is
+// the number of free slots of the sidecar.
 type Declined struct {
 	ID      string
 	Sidecar string
 	Free    int
 }
 
-// Failed is an attempt that failed at a sidecar. With Retry the request asks
-// for another attempt; the answer is a Send, now or later, or a Refuse.
+// Failed reports an attempt that failed at a sidecar. If Retry is set, another
+// attempt is requested, which results in a Send, now or later, or in a Refuse.
 type Failed struct {
 	ID      string
 	Sidecar string
 	Retry   bool
 }
 
-// Succeeded is an attempt that the backend server answered.
+// Succeeded reports an attempt that the backend server answered.
 type Succeeded struct {
 	ID      string
 	Sidecar string
 }
 
-// Ended is a request that has its final outcome.
+// Ended reports that a request has finished, whatever its outcome.
 type Ended struct {
 	ID string
-	// Cost of the run in cost units, 0 if not known.
+	// Cost is the actual cost in cost units, 0 if not known.
 	Cost float64
 }
 
 // SharesSet replaces the shares of the teams.
 type SharesSet struct{ Shares map[string]float64 }
 
-// RoutersSeen tells the number of live routers, this one included.
+// RoutersSeen reports the number of live routers, including this one.
 type RoutersSeen struct{ Count int }
 
-// Ticked lets time pass.
+// Ticked is the periodic timer event. It triggers maintenance and expiry.
 type Ticked struct{}
 
 func (Arrived) isEvent()      {}
--- a/coordination/dispatch/interest.go
+++ b/coordination/dispatch/interest.go
@@ -10,74 +10,78 @@
 )
 
 // repairAfter is the age of a registration after which a sidecar that still
-// reports room is taken not to know of it.
+// reports free slots is assumed to have lost it.
 const repairAfter = 100 * time.Millisecond
 
-// mostDoublings bounds the widening by wait; a pool is never larger.
-const mostDoublings = 16
+// maxDoublings limits how often the subset is doubled. No pool is larger than
+// the resulting subset.
+const maxDoublings = 16
 
-// registration is what one sidecar was told of a queue.
-type registration struct {
+// sentRegistration is the last Register sent to one sidecar for a queue.
+type sentRegistration struct {
 	count  int
 	spread int
 	sent   time.Time
 }
 
-// announce tells sidecars of a queue that has just grown: a first subset of
-// the pool if it was empty, else those that know a count too small, as far as
-// the budget goes; the others are told at the next look.
-func (s *State) announce(now time.Time, q *queue) {
+// registerGrowth registers a queue to which a request was just added: with the
+// first subset of the pool, and again with sidecars whose registered count is
+// now too small. The latter stops when the message budget is exhausted; the
+// remaining ones follow at the next maintenance.
+func (s *State) registerGrowth(now time.Time, q *queue) {
 	s.cover(now, q, coverage{sidecars: s.cfg.Interest.Subset})
-	for _, c := range s.order(q) {
-		r := q.seen[c.id]
+	for _, sc := range s.sidecarOrder(q) {
+		r := q.registrations[sc.id]
 		if r == nil || r.count >= q.len() {
 			continue
 		}
-		if !s.pace.take(now) {
+		if !s.messageBudget.take(now) {
 			return
 		}
-		s.register(now, q, c)
+		s.register(now, q, sc)
 	}
 }
 
-// coverage is how much of the pool a queue has to be registered with.
+// coverage is the minimum number of sidecars and slots with which a queue is to
+// be registered.
 type coverage struct {
 	sidecars int
 	slots    float64
-	// paced waits for the budget of messages that may wait.
-	paced bool
+	// budgeted limits the messages by the budget for deferrable messages.
+	budgeted bool
 }
 
-// cover registers the queue with the first sidecars of its order until the
-// coverage is reached.
+// cover registers the queue with the first available sidecars of its order until
+// the coverage is reached.
 func (s *State) cover(now time.Time, q *queue, want coverage) {
-	var fresh []*peer
+	var added []*sidecar
 	sidecars, slots := 0, 0
-	for _, c := range s.order(q) {
+	for _, sc := range s.sidecarOrder(q) {
 		if sidecars >= want.sidecars && float64(slots) >= want.slots {
 			break
 		}
-		if !c.open() {
+		if !sc.available() {
 			continue
 		}
 		sidecars++
-		slots += c.slots
-		if q.seen[c.id] != nil {
+		slots += sc.slots
+		if q.registrations[sc.id] != nil {
 			continue
 		}
-		if want.paced && !s.pace.take(now) {
+		if want.budgeted && !s.messageBudget.take(now) {
 			break
 		}
-		q.seen[c.id] = &registration{}
-		fresh = append(fresh, c)
+		q.registrations[sc.id] = &sentRegistration{}
+		added = append(added, sc)
 	}
-	for _, c := range fresh {
-		s.register(now, q, c)
+	for _, sc := range added {
+		s.register(now, q, sc)
 	}
 }
 
-// coverAll registers the waiting work of a pool whose membership changed.
-func (s *State) coverAll(now time.Time, p *pool) {
+// coverPool registers the queued work of a pool after a change of its available
+// sidecars.
+func (s *State) coverPool(now time.Time, p *pool) {
 	if s.cfg.Policy != PolicyPull {
 		return
 	}
@@ -88,58 +92,61 @@
 	}
 }
 
-// offerInterest tells a sidecar that reports room of all that waits, also
-// outside the subsets, so that it does not idle beside waiting work.
-func (s *State) offerInterest(now time.Time, p *pool, c *peer) {
-	if s.cfg.Policy != PolicyPull || c.free <= 0 || !c.open() {
+// registerAll registers every queue of the pool with a sidecar that reports free
+// slots, even if it is not in the queue's subset, so that it does not stay idle
+// while work is queued.
+func (s *State) registerAll(now time.Time, p *pool, sc *sidecar) {
+	if s.cfg.Policy != PolicyPull || sc.free <= 0 || !sc.available() {
 		return
 	}
 	for _, q := range p.active {
 		if q.len() == 0 {
 			continue
 		}
-		if r := q.seen[c.id]; r == nil || now.Sub(r.sent) >= repairAfter {
-			s.register(now, q, c)
+		if r := q.registrations[sc.id]; r == nil || now.Sub(r.sent) >= repairAfter {
+			s.register(now, q, sc)
 		}
 	}
 }
 
-// register tells one sidecar what waits.
-func (s *State) register(now time.Time, q *queue, c *peer) {
-	r := q.seen[c.id]
+// register sends one sidecar the current state of a queue.
+func (s *State) register(now time.Time, q *queue, sc *sidecar) {
+	r := q.registrations[sc.id]
 	if r == nil {
-		r = &registration{}
-		q.seen[c.id] = r
+		r = &sentRegistration{}
+		q.registrations[sc.id] = r
 	}
 	if !r.fits(q.len()) {
 		r.count = roundUp(q.len())
 	}
-	r.spread, r.sent = len(q.seen), now
+	r.spread, r.sent = len(q.registrations), now
 	s.stats.Interests++
-	s.emit(Register{Sidecar: c.id, Team: q.team, Count: r.count, Oldest: q.wait(now), Spread: r.spread})
+	s.emit(Register{Sidecar: sc.id, Team: q.team, Count: r.count, Oldest: q.oldestWait(now), Spread: r.spread})
 }
 
-// fits reports whether the count told still stands for n waiting requests.
-func (r *registration) fits(n int) bool { return n <= r.count && n > r.count/4 }
+// fits reports whether the registered count is still accurate enough for n
+// queued requests.
+func (r *sentRegistration) fits(n int) bool { return n <= r.count && n > r.count/4 }
 
-// withdraw tells one sidecar that nothing waits any more.
-func (s *State) withdraw(q *queue, c *peer) {
-	delete(q.seen, c.id)
+// withdraw ends the registration of a queue with one sidecar.
+func (s *State) withdraw(q *queue, sc *sidecar) {
+	delete(q.registrations, sc.id)
 	s.stats.Interests++
-	s.emit(Register{Sidecar: c.id, Team: q.team})
+	s.emit(Register{Sidecar: sc.id, Team: q.team})
 }
 
-// forget withdraws all that a sidecar was told, when it leaves or is ejected.
-func (s *State) forget(p *pool, c *peer) {
+// withdrawAll withdraws all registrations with a sidecar that is draining or
+// ejected.
+func (s *State) withdrawAll(p *pool, sc *sidecar) {
 	for _, q := range p.active {
-		if q.seen[c.id] != nil {
-			s.withdraw(q, c)
+		if q.registrations[sc.id] != nil {
+			s.withdraw(q, sc)
 		}
 	}
 }
 
-// roundUp returns the next power of two, so that a count is told again only
-// when it has changed by a factor.
+// roundUp rounds up to a power of two, so that a count is sent again only when
+// it has changed by a factor.
 func roundUp(n int) int {
 	if n <= 1 {
 		return n
@@ -147,19 +154,20 @@
 	return 1 << bits.Len(uint(n-1))
 }
 
-// order returns the pool's sidecars in an order of the team's own, which a
-// change of membership hardly changes (rendezvous hashing).
-func (s *State) order(q *queue) []*peer {
+// sidecarOrder returns the pool's sidecars in an order specific to the team
+// (rendezvous hashing). When a sidecar joins or leaves, the order of the others
+// is unchanged.
+func (s *State) sidecarOrder(q *queue) []*sidecar {
 	if q.version == q.pool.version {
 		return q.order
 	}
 	type ranked struct {
-		peer *peer
-		rank uint64
+		sidecar *sidecar
+		rank    uint64
 	}
-	all := make([]ranked, 0, len(q.pool.peers))
-	for _, c := range q.pool.peers {
-		all = append(all, ranked{c, s.rank(q.team, c.id)})
+	all := make([]ranked, 0, len(q.pool.sidecars))
+	for _, sc := range q.pool.sidecars {
+		all = append(all, ranked{sc, s.rank(q.team, sc.id)})
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
 		if a.rank != b.rank && a.rank < b.rank {
@@ -168,16 +176,17 @@
 		if a.rank != b.rank {
 			return 1
 		}
-		return strings.Compare(a.peer.id, b.peer.id)
+		return strings.Compare(a.sidecar.id, b.sidecar.id)
 	})
 	q.order = q.order[:0]
 	for _, r := range all {
-		q.order = append(q.order, r.peer)
+		q.order = append(q.order, r.sidecar)
 	}
 	q.version = q.pool.version
 	return q.order
 }
 
+// rank returns the rendezvous hash of a team and a sidecar.
 func (s *State) rank(team, sidecar string) uint64 {
 	d := xxhash.NewWithSeed(s.cfg.Seed)
 	_, _ = d.WriteString(team)
@@ -186,21 +195,22 @@
 	return d.Sum64()
 }
 
-// maintainPool widens, repeats and withdraws registrations within the budget.
+// maintainPool widens, refreshes and withdraws registrations within the message
+// budget.
 func (s *State) maintainPool(now time.Time, p *pool) {
-	s.probeInterest(now, p)
+	s.registerProbes(now, p)
 	if s.cfg.Policy != PolicyPull {
 		return
 	}
-	slots, shares := 0, 0.0
-	for _, c := range p.peers {
-		if c.open() {
-			slots += c.slots
+	slots, totalShare := 0, 0.0
+	for _, sc := range p.sidecars {
+		if sc.available() {
+			slots += sc.slots
 		}
 	}
 	for _, q := range p.active {
 		if q.len() > 0 {
-			shares += s.share(q.team)
+			totalShare += s.shareOf(q.team)
 		}
 	}
 	for _, q := range p.active {
@@ -208,61 +218,62 @@
 			s.withdrawIdle(now, q)
 			continue
 		}
-		fair := float64(slots) * s.share(q.team) / shares
-		s.widen(now, q, fair)
-		s.repeat(now, q)
+		fairSlots := float64(slots) * s.shareOf(q.team) / totalShare
+		s.widen(now, q, fairSlots)
+		s.refresh(now, q)
 	}
 }
 
-// widen extends the subset with the wait of the oldest request, and until it
-// holds more slots than the team's fair share. The share is taken among the
-// teams that wait at this router, which is too much rather than too little.
-func (s *State) widen(now time.Time, q *queue, fair float64) {
-	wait := q.wait(now)
+// widen extends the queue's subset the longer its oldest request waits, and until
+// the subset has Slack times the team's fair share of slots. The fair share is
+// computed among the teams with requests queued at this router only, so it is
+// too large rather than too small.
+func (s *State) widen(now time.Time, q *queue, fairSlots float64) {
+	wait := q.oldestWait(now)
 	if wait < s.cfg.Interest.WidenEvery {
 		return
 	}
-	doublings := min(int(wait/s.cfg.Interest.WidenEvery), mostDoublings)
+	doublings := min(int(wait/s.cfg.Interest.WidenEvery), maxDoublings)
 	s.cover(now, q, coverage{
 		sidecars: s.cfg.Interest.Subset << doublings,
-		slots:    s.cfg.Interest.Slack * fair,
-		paced:    true,
+		slots:    s.cfg.Interest.Slack * fairSlots,
+		budgeted: true,
 	})
 }
 
-// repeat registers again where the count or the spread changed much, or the
-// registration is old.
-func (s *State) repeat(now time.Time, q *queue) {
-	for _, c := range s.order(q) {
-		r := q.seen[c.id]
+// refresh registers the queue again with the sidecars whose registration is old
+// or differs much in its count or spread.
+func (s *State) refresh(now time.Time, q *queue) {
+	for _, sc := range s.sidecarOrder(q) {
+		r := q.registrations[sc.id]
 		if r == nil {
 			continue
 		}
-		spread := 4*len(q.seen) > 5*r.spread
-		old := now.Sub(r.sent) >= s.cfg.Interest.RefreshEvery
-		if r.fits(q.len()) && !spread && !old {
+		spreadGrew := 4*len(q.registrations) > 5*r.spread
+		refreshDue := now.Sub(r.sent) >= s.cfg.Interest.RefreshEvery
+		if r.fits(q.len()) && !spreadGrew && !refreshDue {
 			continue
 		}
-		if !s.pace.take(now) {
+		if !s.messageBudget.take(now) {
 			return
 		}
-		s.register(now, q, c)
+		s.register(now, q, sc)
 	}
 }
 
-// withdrawIdle withdraws a queue that stays empty. A short empty spell keeps
-// the registrations; a pull that comes meanwhile is answered with Empty.
+// withdrawIdle withdraws the registrations of a queue that has been empty for
+// WithdrawAfter. Until then they are kept, and a pull is answered with Empty.
 func (s *State) withdrawIdle(now time.Time, q *queue) {
-	if len(q.seen) == 0 || now.Sub(q.emptied) < s.cfg.Interest.WithdrawAfter {
+	if len(q.registrations) == 0 || now.Sub(q.emptySince) < s.cfg.Interest.WithdrawAfter {
 		return
 	}
-	for _, c := range s.order(q) {
-		if q.seen[c.id] == nil {
+	for _, sc := range s.sidecarOrder(q) {
+		if q.registrations[sc.id] == nil {
 			continue
 		}
-		if !s.pace.take(now) {
+		if !s.messageBudget.take(now) {
 			return
 		}
-		s.withdraw(q, c)
+		s.withdraw(q, sc)
 	}
 }
--- a/coordination/dispatch/interest_test.go
+++ b/coordination/dispatch/interest_test.go
@@ -9,34 +9,34 @@
 	"goldcrestport/coordination/dispatch"
 )
 
-// registered applies registrations to a sidecar's view of the waiting work.
-func registered(view map[string]int, actions []dispatch.Action) map[string]int {
+// registered applies Register actions to the counts registered by sidecar.
+func applyRegistrations(counts map[string]int, actions []dispatch.Action) map[string]int {
 	for _, r := range only[dispatch.Register](actions) {
 		if r.Count == 0 {
-			delete(view, r.Sidecar)
+			delete(counts, r.Sidecar)
 			continue
 		}
-		view[r.Sidecar] = r.Count
+		counts[r.Sidecar] = r.Count
 	}
-	return view
+	return counts
 }
 
-func TestSubsetWidensWithTheWait(t *testing.T) {
+func TestSubsetWidensWithWait(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(func(cfg *dispatch.Config) { cfg.Interest.PerSecond = 5000 })
 	f.sidecars(60, 8, 0)
-	for i := range 20 { // so many teams that none has a fair share above 8
+	for i := range 20 { // enough teams that none has a fair share above 8 sidecars
 		f.arrive(sidecar(i), sidecar(i))
 	}
-	view := registered(map[string]int{}, f.arrive("a", "0"))
-	c.Assert(view, qt.HasLen, 8)
+	counts := applyRegistrations(map[string]int{}, f.arrive("a", "0"))
+	c.Assert(counts, qt.HasLen, 8)
 	widen := func(d time.Duration) int {
 		for _, r := range only[dispatch.Register](f.after(d)) {
 			if r.Team == "a" {
-				registered(view, []dispatch.Action{r})
+				applyRegistrations(counts, []dispatch.Action{r})
 			}
 		}
-		return len(view)
+		return len(counts)
 	}
 	c.Assert(widen(180*time.Millisecond), qt.Equals, 16)
 	c.Assert(widen(400*time.Millisecond), qt.Equals, 60)
@@ -44,16 +44,16 @@
 	c.Assert(widen(time.Second), qt.Equals, 0)
 }
 
-func TestSubsetHoldsMoreSlotsThanTheFairShare(t *testing.T) {
+func TestSubsetCoversMultipleOfFairShare(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(func(cfg *dispatch.Config) {
 		cfg.Interest.Subset, cfg.Interest.WidenEvery = 1, 100*time.Millisecond
 	})
 	f.sidecars(40, 8, 0)
 	f.step(dispatch.SharesSet{Shares: map[string]float64{"a": 3, "b": 1}})
-	a := registered(map[string]int{}, f.arrive("a", "a-0"))
-	registered(a, f.arrive("a", "a-1"))
-	b := registered(map[string]int{}, f.arrive("b", "b-0"))
+	a := applyRegistrations(map[string]int{}, f.arrive("a", "a-0"))
+	applyRegistrations(a, f.arrive("a", "a-1"))
+	b := applyRegistrations(map[string]int{}, f.arrive("b", "b-0"))
 	c.Assert(len(a)+len(b), qt.Equals, 2)
 	for _, act := range only[dispatch.Register](f.after(200 * time.Millisecond)) {
 		map[string]map[string]int{"a": a, "b": b}[act.Team][act.Sidecar] = act.Count
@@ -63,25 +63,26 @@
 	c.Assert(b, qt.HasLen, 20)
 }
 
-func TestFreeSidecarIsToldOfAllThatWaits(t *testing.T) {
+func TestSidecarWithFreeSlotsIsRegisteredOutsideSubset(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(nil)
 	f.sidecars(40, 1, 0)
-	view := registered(map[string]int{}, f.arrive("a", "0"))
+	counts := applyRegistrations(map[string]int{}, f.arrive("a", "0"))
 	for i := range 40 {
-		if view[sidecar(i)] == 0 {
+		if counts[sidecar(i)] == 0 {
 			got := only[dispatch.Register](f.load(i, 1, 1))
 			c.Assert(got, qt.HasLen, 1)
 			c.Assert(got[0].Sidecar, qt.Equals, sidecar(i))
 			return
 		}
 	}
-	t.Fatal("the first subset holds the whole pool")
+	t.Fatal("the first subset contains the whole pool")
 }
 
-// Registrations may not grow with the requests: a queue that stays non-empty
-// is told again only when its length has changed by a factor.
-func TestSteadyBacklogCostsFewMessages(t *testing.T) {
+// The number of registrations must not grow with the number of requests: a queue
+// that stays non-empty is registered again only when its length has changed by a
+// factor.
+func TestSteadyBacklogSendsNoRegistrations(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(nil)
 	f.sidecars(8, 8, 0)
@@ -95,7 +96,7 @@
 	c.Assert(f.Stats().Interests, qt.Equals, before)
 }
 
-func TestMessagesThatMayWaitArePaced(t *testing.T) {
+func TestDeferrableMessagesAreRateLimited(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(func(cfg *dispatch.Config) { cfg.Interest.PerSecond = 10 })
 	f.sidecars(200, 8, 0)
@@ -108,7 +109,7 @@
 	c.Assert(sent <= 30, qt.IsTrue, qt.Commentf("%d", sent))
 }
 
-func TestEmptyEndsTheRegistration(t *testing.T) {
+func TestEmptyPullEndsRegistration(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(nil)
 	f.sidecars(1, 1, 0)
--- a/coordination/dispatch/pool.go
+++ b/coordination/dispatch/pool.go
@@ -8,48 +8,52 @@
 	"goldcrestport/coordination/health"
 )
 
-// pool is what the router knows of one service.
+// pool holds the sidecars and queues of one service.
 type pool struct {
-	service string
-	peers   []*peer
-	teams   map[string]*queue
-	// active holds the queues in which something waits or of which a sidecar
-	// knows, sorted by team. Teams that send nothing cost nothing.
+	service  string
+	sidecars []*sidecar
+	teams    map[string]*queue
+	// active holds the queues that are non-empty or registered with a sidecar,
+	// sorted by team, so that idle teams cost no processing time.
 	active   []*queue
 	affinity affinity
-	// version changes when a sidecar joins or goes.
+	// version changes when a sidecar connects or disconnects.
 	version int
-	// emptySince is when the last sidecar that takes work went, zero while
-	// there is one.
-	emptySince time.Time
+	// noSidecarSince is when the last sidecar disconnected or began to drain,
+	// zero while there is one that is not draining.
+	noSidecarSince time.Time
 }
 
-// peer is one sidecar with an open control stream.
-type peer struct {
+// sidecar is a sidecar with an open control stream.
+type sidecar struct {
 	id      string
 	service string
 	slots   int
-	// free is the room known here: the last report, less the offers sent,
-	// plus the attempts that ended since.
+	// free is the estimated number of free slots: the last report, less the
+	// offers sent, plus the attempts that ended since.
 	free int
-	// reported is the room of the last report.
-	reported int
-	// occupied is what ran and waited at the sidecar by the last report.
-	occupied int
-	// since counts the attempts sent from here since the last report.
-	since int
+	// reportedFree is the number of free slots in the last report.
+	reportedFree int
+	// reportedLoad is the number of running and waiting attempts at the sidecar
+	// in the last report.
+	reportedLoad int
+	// sentSinceReport counts the attempts sent from here since the last report.
+	sentSinceReport int
 	// inFlight counts the attempts from here that have not ended.
-	inFlight    int
-	leaving     bool
+	inFlight int
+	// draining is set while the sidecar accepts no new work.
+	draining bool
+	// selfEjected is set while the sidecar reports its backend server as failing.
 	selfEjected bool
 	health      *health.Tracker
-	// probe is the request that probes an ejected sidecar.
-	probe string
+	// probeID is the ID of the probe request in flight at the ejected sidecar.
+	probeID string
 }
 
-// open reports whether the sidecar takes ordinary work.
-func (c *peer) open() bool { return !c.leaving && !c.health.Ejected() }
+// available reports whether the sidecar accepts requests other than probes.
+func (sc *sidecar) available() bool { return !sc.draining && !sc.health.Ejected() }
 
+// pool returns the pool of the service and creates it on first use.
 func (s *State) pool(service string) *pool {
 	p := s.pools[service]
 	if p == nil {
@@ -59,12 +63,12 @@
 	return p
 }
 
-// poolAt returns the pool; one that is met for the first time is empty since
-// now.
+// poolAt returns the pool of the service. For a new pool, noSidecarSince is set
+// to now.
 func (s *State) poolAt(now time.Time, service string) *pool {
 	p := s.pool(service)
-	if len(p.peers) == 0 && p.emptySince.IsZero() {
-		p.emptySince = now
+	if len(p.sidecars) == 0 && p.noSidecarSince.IsZero() {
+		p.noSidecarSince = now
 	}
 	return p
 }
@@ -78,7 +82,7 @@
 	return out
 }
 
-// activate adds a queue to those that are looked at.
+// activate adds a queue to the active queues.
 func (p *pool) activate(q *queue) {
 	i, found := slices.BinarySearchFunc(p.active, q.team, byTeam)
 	if !found {
@@ -88,16 +92,17 @@
 
 func byTeam(q *queue, team string) int { return strings.Compare(q.team, team) }
 
-// settle drops the queues that hold nothing and that no sidecar knows of.
-func (p *pool) settle() {
-	p.active = slices.DeleteFunc(p.active, func(q *queue) bool { return q.len() == 0 && len(q.seen) == 0 })
+// deactivateIdle removes the queues that are empty and not registered with any
+// sidecar from the active queues.
+func (p *pool) deactivateIdle() {
+	p.active = slices.DeleteFunc(p.active, func(q *queue) bool { return q.len() == 0 && len(q.registrations) == 0 })
 }
 
-// openPeers returns the number of sidecars that take ordinary work.
-func (p *pool) openPeers() int {
+// availableSidecars returns the number of sidecars that are available.
+func (p *pool) availableSidecars() int {
 	n := 0
-	for _, c := range p.peers {
-		if c.open() {
+	for _, sc := range p.sidecars {
+		if sc.available() {
 			n++
 		}
 	}
@@ -107,68 +112,68 @@
 func (s *State) sidecarUp(now time.Time, ev SidecarUp) {
 	s.sidecarDown(now, ev.Sidecar)
 	p := s.pool(ev.Service)
-	c := &peer{id: ev.Sidecar, service: ev.Service, health: health.New(s.cfg.Health)}
-	s.peers[c.id] = c
-	p.peers = append(p.peers, c)
+	sc := &sidecar{id: ev.Sidecar, service: ev.Service, health: health.New(s.cfg.Health)}
+	s.sidecars[sc.id] = sc
+	p.sidecars = append(p.sidecars, sc)
 	p.version++
-	s.checkEmpty(now, p)
-	s.coverAll(now, p)
-	s.place.roomChanged(now, p)
+	s.checkAvailability(now, p)
+	s.coverPool(now, p)
+	s.placement.capacityChanged(now, p)
 }
 
 func (s *State) sidecarDown(now time.Time, id string) {
-	c := s.peers[id]
-	if c == nil {
+	sc := s.sidecars[id]
+	if sc == nil {
 		return
 	}
-	delete(s.peers, id)
-	p := s.pool(c.service)
-	p.peers = slices.DeleteFunc(p.peers, func(o *peer) bool { return o == c })
+	delete(s.sidecars, id)
+	p := s.pool(sc.service)
+	p.sidecars = slices.DeleteFunc(p.sidecars, func(o *sidecar) bool { return o == sc })
 	p.version++
 	for _, q := range p.active {
-		delete(q.seen, id)
+		delete(q.registrations, id)
 	}
-	s.checkEmpty(now, p)
-	s.coverAll(now, p)
+	s.checkAvailability(now, p)
+	s.coverPool(now, p)
 }
 
-func (s *State) load(now time.Time, ev LoadReported) {
-	c := s.peers[ev.Sidecar]
-	if c == nil {
+func (s *State) loadReported(now time.Time, ev LoadReported) {
+	sc := s.sidecars[ev.Sidecar]
+	if sc == nil {
 		return
 	}
-	c.slots, c.free, c.reported = ev.Slots, ev.Free, ev.Free
-	c.occupied, c.since = max(ev.Slots-ev.Free, 0)+ev.Waiting, 0
-	c.selfEjected = ev.Ejected
-	p := s.pool(c.service)
-	if c.leaving != ev.Leaving {
-		c.leaving = ev.Leaving
-		s.forget(p, c)
-		s.checkEmpty(now, p)
-		s.coverAll(now, p)
+	sc.slots, sc.free, sc.reportedFree = ev.Slots, ev.Free, ev.Free
+	sc.reportedLoad, sc.sentSinceReport = max(ev.Slots-ev.Free, 0)+ev.Waiting, 0
+	sc.selfEjected = ev.Ejected
+	p := s.pool(sc.service)
+	if sc.draining != ev.Leaving {
+		sc.draining = ev.Leaving
+		s.withdrawAll(p, sc)
+		s.checkAvailability(now, p)
+		s.coverPool(now, p)
 	}
-	s.offerInterest(now, p, c)
-	s.place.roomChanged(now, p)
+	s.registerAll(now, p, sc)
+	s.placement.capacityChanged(now, p)
 }
 
-// checkEmpty keeps the time since which nothing serves the pool. If only
-// ejected sidecars are left, they all get another chance.
-func (s *State) checkEmpty(now time.Time, p *pool) {
-	taking := 0
-	for _, c := range p.peers {
-		if !c.leaving {
-			taking++
+// checkAvailability updates noSidecarSince. If only ejected sidecars remain, it
+// re-admits all of them.
+func (s *State) checkAvailability(now time.Time, p *pool) {
+	remaining := 0
+	for _, sc := range p.sidecars {
+		if !sc.draining {
+			remaining++
 		}
 	}
 	switch {
-	case taking > 0:
-		p.emptySince = time.Time{}
-	case p.emptySince.IsZero():
-		p.emptySince = now
+	case remaining > 0:
+		p.noSidecarSince = time.Time{}
+	case p.noSidecarSince.IsZero():
+		p.noSidecarSince = now
 	}
-	if taking > 0 && p.openPeers() == 0 {
-		for _, c := range p.peers {
-			c.health, c.probe = health.New(s.cfg.Health), ""
+	if remaining > 0 && p.availableSidecars() == 0 {
+		for _, sc := range p.sidecars {
+			sc.health, sc.probeID = health.New(s.cfg.Health), ""
 		}
 	}
 }
--- a/coordination/dispatch/property_test.go
+++ b/coordination/dispatch/property_test.go
@@ -10,20 +10,21 @@
 	"goldcrestport/coordination/dispatch"
 )
 
-// model is what an observer outside knows of a core under random events.
+// model tracks the state that the actions of a State under random events imply,
+// and checks the invariants after each event.
 type model struct {
-	t    *rapid.T
-	cfg  dispatch.Config
-	core *dispatch.State
-	now  time.Time
-
-	waiting map[string]dispatch.Request
-	sent    map[string]string // by request, the sidecar
-	up      map[string]bool
-	leaving map[string]bool
-	view    map[string]bool // sidecar/team that is registered
-	next    int
-	known   map[string]dispatch.Request // every request that arrived
+	t     *rapid.T
+	cfg   dispatch.Config
+	state *dispatch.State
+	now   time.Time
+
+	queued        map[string]dispatch.Request // queued, by request ID
+	inFlight      map[string]string           // sidecar by the ID of the request in flight
+	connected     map[string]bool
+	draining      map[string]bool
+	registrations map[string]bool // registered, by sidecar/team
+	next          int
+	requests      map[string]dispatch.Request // every request that arrived, by ID
 }
 
 func newModel(t *rapid.T) *model {
@@ -37,41 +38,41 @@
 	cfg.Health.Consecutive = 2
 	cfg.Seed = rapid.Uint64().Draw(t, "seed")
 	return &model{
-		t: t, cfg: cfg, core: dispatch.New(cfg), now: epoch,
-		waiting: map[string]dispatch.Request{}, sent: map[string]string{},
-		known: map[string]dispatch.Request{}, up: map[string]bool{}, leaving: map[string]bool{}, view: map[string]bool{},
+		t: t, cfg: cfg, state: dispatch.New(cfg), now: epoch,
+		queued: map[string]dispatch.Request{}, inFlight: map[string]string{},
+		requests: map[string]dispatch.Request{}, connected: map[string]bool{}, draining: map[string]bool{}, registrations: map[string]bool{},
 	}
 }
 
 func (m *model) step(ev dispatch.Event) {
-	for _, a := range m.core.Step(m.now, ev) {
+	for _, a := range m.state.Step(m.now, ev) {
 		switch a := a.(type) {
 		case dispatch.Send:
-			r, ok := m.waiting[a.ID]
-			if !ok || !m.up[a.Sidecar] {
-				m.t.Fatalf("%#v sent to %s though it does not wait or the sidecar is gone", a.ID, a.Sidecar)
+			r, ok := m.queued[a.ID]
+			if !ok || !m.connected[a.Sidecar] {
+				m.t.Fatalf("%#v sent to %s although it is not queued or the sidecar is not connected", a.ID, a.Sidecar)
 			}
 			if !r.Deadline.IsZero() && !m.now.Before(r.Deadline) {
 				m.t.Fatalf("%s sent after its deadline", a.ID)
 			}
-			delete(m.waiting, a.ID)
-			m.sent[a.ID] = a.Sidecar
+			delete(m.queued, a.ID)
+			m.inFlight[a.ID] = a.Sidecar
 		case dispatch.Refuse:
-			if _, ok := m.waiting[a.ID]; !ok {
-				m.t.Fatalf("%s refused (%v) though it does not wait", a.ID, a.Reason)
+			if _, ok := m.queued[a.ID]; !ok {
+				m.t.Fatalf("%s refused (%v) although it is not queued", a.ID, a.Reason)
 			}
 			if a.RetryAfter < time.Second || a.RetryAfter > time.Minute {
-				m.t.Fatalf("retry after %v", a.RetryAfter)
+				m.t.Fatalf("RetryAfter out of range: %v", a.RetryAfter)
 			}
-			delete(m.waiting, a.ID)
+			delete(m.queued, a.ID)
 		case dispatch.Register:
-			m.view[a.Sidecar+"/"+a.Team] = a.Count > 0
+			m.registrations[a.Sidecar+"/"+a.Team] = a.Count > 0
 		case dispatch.Empty:
 			switch ev := ev.(type) {
 			case dispatch.Pulled:
-				m.view[a.Sidecar+"/"+ev.Team] = false
+				m.registrations[a.Sidecar+"/"+ev.Team] = false
 			case dispatch.Withdrawn:
-				m.view[a.Sidecar+"/"+m.known[ev.ID].Team] = false
+				m.registrations[a.Sidecar+"/"+m.requests[ev.ID].Team] = false
 			}
 		}
 	}
@@ -80,44 +81,46 @@
 
 func (m *model) check() {
 	teams, bytes, teamBytes := map[string]int{}, int64(0), map[string]int64{}
-	for _, r := range m.waiting {
+	for _, r := range m.queued {
 		teams[r.Team]++
 		bytes += r.Bytes
 		teamBytes[r.Team] += r.Bytes
 		if !r.Deadline.IsZero() && !m.now.Before(r.Deadline) {
-			m.t.Fatalf("%s waits after its deadline", r.ID)
+			m.t.Fatalf("%s is still queued after its deadline", r.ID)
 		}
 	}
-	if m.core.Waiting() != len(m.waiting) {
-		m.t.Fatalf("the core says %d wait, %d were sent no answer", m.core.Waiting(), len(m.waiting))
+	if m.state.Waiting() != len(m.queued) {
+		m.t.Fatalf("Waiting() is %d, but %d requests are queued", m.state.Waiting(), len(m.queued))
 	}
-	if len(m.waiting) > m.cfg.Queues.Total || bytes > m.cfg.Queues.TotalBytes {
-		m.t.Fatalf("total bound passed: %d requests, %d bytes", len(m.waiting), bytes)
+	if len(m.queued) > m.cfg.Queues.Total || bytes > m.cfg.Queues.TotalBytes {
+		m.t.Fatalf("total limit exceeded: %d requests, %d bytes", len(m.queued), bytes)
 	}
 	for team, n := range teams {
 		if n > m.cfg.Queues.PerTeam || teamBytes[team] > m.cfg.Queues.PerTeamBytes {
-			m.t.Fatalf("bound of %s passed: %d requests, %d bytes", team, n, teamBytes[team])
+			m.t.Fatalf("limit of team %s exceeded: %d requests, %d bytes", team, n, teamBytes[team])
 		}
-		if m.cfg.Policy == dispatch.PolicyPull && m.taking() > 0 && !m.seen(team) {
-			m.t.Fatalf("%s waits and no sidecar knows", team)
+		if m.cfg.Policy == dispatch.PolicyPull && m.acceptingCount() > 0 && !m.registered(team) {
+			m.t.Fatalf("team %s has queued work that is registered with none of the sidecars that accept work", team)
 		}
 	}
 }
 
-// seen reports whether some sidecar that takes work knows of the team's.
-func (m *model) seen(team string) bool {
-	for id := range m.up {
-		if !m.leaving[id] && m.view[id+"/"+team] {
+// registered reports whether the team's work is registered with a sidecar that is
+// not draining.
+func (m *model) registered(team string) bool {
+	for id := range m.connected {
+		if !m.draining[id] && m.registrations[id+"/"+team] {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *model) taking() int {
+// acceptingCount returns the number of connected sidecars that are not draining.
+func (m *model) acceptingCount() int {
 	n := 0
-	for id := range m.up {
-		if !m.leaving[id] {
+	for id := range m.connected {
+		if !m.draining[id] {
 			n++
 		}
 	}
@@ -136,21 +139,21 @@
 	if rapid.Bool().Draw(m.t, "has deadline") {
 		r.Deadline = m.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(m.t, "deadline")) * time.Millisecond)
 	}
-	m.waiting[r.ID], m.known[r.ID] = r, r
+	m.queued[r.ID], m.requests[r.ID] = r, r
 	m.step(dispatch.Arrived{Request: r})
 }
 
-// attempt draws one that is under way.
-func (m *model) attempt() (id, at string, ok bool) {
-	ids := sortedKeys(m.sent)
+// attempt draws a request that is in flight.
+func (m *model) attempt() (id, sidecar string, ok bool) {
+	ids := sortedIDs(m.inFlight)
 	if len(ids) == 0 {
 		return "", "", false
 	}
 	id = rapid.SampledFrom(ids).Draw(m.t, "attempt")
-	return id, m.sent[id], true
+	return id, m.inFlight[id], true
 }
 
-func sortedKeys[V any](in map[string]V) []string {
+func sortedIDs[V any](in map[string]V) []string {
 	var out []string
 	for i := range 2000 {
 		if id := fmt.Sprint(i); contains(in, id) {
@@ -170,13 +173,13 @@
 		m := newModel(t)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			m.now = m.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			m.random()
+			m.randomEvent()
 		}
 		m.quiesce()
 	})
 }
 
-func (m *model) random() {
+func (m *model) randomEvent() {
 	id := sidecar(rapid.IntRange(0, 4).Draw(m.t, "sidecar"))
 	switch rapid.IntRange(0, 9).Draw(m.t, "event") {
 	case 0, 1:
@@ -184,25 +187,25 @@
 	case 2:
 		m.step(dispatch.Ticked{})
 	case 3:
-		m.up[id], m.leaving[id] = true, false
+		m.connected[id], m.draining[id] = true, false
 		for _, team := range []string{"a", "b", "c"} {
-			m.view[id+"/"+team] = false
+			m.registrations[id+"/"+team] = false
 		}
 		m.step(dispatch.SidecarUp{Sidecar: id, Service: service})
 	case 4:
-		delete(m.up, id)
+		delete(m.connected, id)
 		m.step(dispatch.SidecarDown{Sidecar: id})
 	case 5:
 		slots := rapid.IntRange(0, 3).Draw(m.t, "slots")
-		m.leaving[id] = m.up[id] && rapid.IntRange(0, 2).Draw(m.t, "leaving") == 0
-		m.step(dispatch.LoadReported{Sidecar: id, Slots: slots, Free: rapid.IntRange(0, slots).Draw(m.t, "free"), Leaving: m.leaving[id]})
+		m.draining[id] = m.connected[id] && rapid.IntRange(0, 2).Draw(m.t, "draining") == 0
+		m.step(dispatch.LoadReported{Sidecar: id, Slots: slots, Free: rapid.IntRange(0, slots).Draw(m.t, "free"), Leaving: m.draining[id]})
 	case 6:
 		team := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(m.t, "pulled")
 		m.step(dispatch.Pulled{Sidecar: id, Pull: 1, Team: team, Prefixes: []uint64{1}})
 	case 7:
 		if r, at, ok := m.attempt(); ok {
-			delete(m.sent, r)
-			m.waiting[r] = m.known[r]
+			delete(m.inFlight, r)
+			m.queued[r] = m.requests[r]
 			m.step(dispatch.Declined{ID: r, Sidecar: at})
 		}
 	case 8:
@@ -213,37 +216,37 @@
 				m.step(dispatch.Failed{Sidecar: at})
 			}
 			if retry {
-				delete(m.sent, r)
-				m.waiting[r] = m.known[r]
+				delete(m.inFlight, r)
+				m.queued[r] = m.requests[r]
 			}
 			m.step(dispatch.Failed{ID: r, Sidecar: at, Retry: retry})
 		}
 	default:
 		if r, at, ok := m.attempt(); ok {
-			if rapid.Bool().Draw(m.t, "withdrawn") {
-				delete(m.sent, r)
+			if rapid.Bool().Draw(m.t, "cancelled") {
+				delete(m.inFlight, r)
 				m.step(dispatch.Withdrawn{ID: r, Pull: uint64(rapid.IntRange(0, 1).Draw(m.t, "open pull"))})
 				return
 			}
 			m.step(dispatch.Succeeded{ID: r, Sidecar: at})
-			delete(m.sent, r)
+			delete(m.inFlight, r)
 			m.step(dispatch.Ended{ID: r})
 		}
 	}
 }
 
-// quiesce takes all sidecars away: within the grace everything that waits has
-// its answer.
+// quiesce disconnects all sidecars and checks that every queued request is
+// refused after the grace period.
 func (m *model) quiesce() {
 	for i := range 5 {
-		delete(m.up, sidecar(i))
+		delete(m.connected, sidecar(i))
 		m.step(dispatch.SidecarDown{Sidecar: sidecar(i)})
 	}
 	m.now = m.now.Add(m.cfg.Queues.Grace + time.Second)
 	m.step(dispatch.Ticked{})
 	m.now = m.now.Add(m.cfg.Queues.Grace + time.Second)
 	m.step(dispatch.Ticked{})
-	if len(m.waiting) > 0 {
-		m.t.Fatalf("%d still wait without a sidecar", len(m.waiting))
+	if len(m.queued) > 0 {
+		m.t.Fatalf("%d requests still queued without a sidecar", len(m.queued))
 	}
 }
--- a/coordination/dispatch/pull.go
+++ b/coordination/dispatch/pull.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// pull is the placement of PolicyPull: an offer if room is known, else the
-// queue, from which sidecars pull.
+// pull is the placement of PolicyPull. It offers a request to a sidecar that is
+// known to have free slots, or else queues it for sidecars to pull.
 type pull struct{ s *State }
 
 func (d pull) admit(now time.Time, p *pool, e *entry) {
 	if p.queue(d.s, e.req.Team).len() == 0 && d.s.offer(now, p, e) {
 		return
 	}
-	if d.s.wait(now, p, e) {
-		d.s.announce(now, p.queue(d.s, e.req.Team))
+	if d.s.enqueueNew(now, p, e) {
+		d.s.registerGrowth(now, p.queue(d.s, e.req.Team))
 	}
 }
 
@@ -23,149 +23,153 @@
 	if p.queue(d.s, e.req.Team).len() == 0 && d.s.offer(now, p, e) {
 		return
 	}
-	if d.s.waitAgain(now, p, e) {
-		d.s.announce(now, p.queue(d.s, e.req.Team))
+	if d.s.enqueueOrRefuse(now, p, e) {
+		d.s.registerGrowth(now, p.queue(d.s, e.req.Team))
 	}
 }
 
-// roomChanged does nothing: sidecars with room pull.
-func (d pull) roomChanged(time.Time, *pool) {}
+// capacityChanged does nothing, because sidecars with free slots pull.
+func (d pull) capacityChanged(time.Time, *pool) {}
 
-// offer sends the request to a sidecar that is known to have room, if one is.
+// offer sends the request to a sidecar that is known to have free slots, and
+// reports whether there is one.
 func (s *State) offer(now time.Time, p *pool, e *entry) bool {
 	if e.offers >= s.cfg.MaxOffers {
 		return false
 	}
-	c := s.offerProbe(now, p, e)
-	if c == nil {
-		c = s.warm(now, p, e)
+	sc := s.offerProbe(now, p, e)
+	if sc == nil {
+		sc = s.sidecarWithPrefix(now, p, e)
 	}
-	if c == nil {
-		c = s.drawFree(now, p, e)
+	if sc == nil {
+		sc = s.drawFree(now, p, e)
 	}
-	if c == nil {
+	if sc == nil {
 		return false
 	}
 	e.offers++
-	c.free--
+	sc.free--
 	s.stats.Offers++
 	s.requests[e.req.ID] = e
-	s.send(e, c, 0)
+	s.send(e, sc, 0)
 	return true
 }
 
-// drawFree draws a sidecar with room, each with a chance in proportion to its
-// room, so that routers do not all choose the same one.
-func (s *State) drawFree(now time.Time, p *pool, e *entry) *peer {
+// drawFree returns a random sidecar, weighted by the number of free slots so
+// that routers do not all choose the same one, or nil if none has free slots.
+func (s *State) drawFree(now time.Time, p *pool, e *entry) *sidecar {
 	total := 0
-	for _, c := range p.peers {
-		if c.takesOffers(now, e) {
-			total += c.free
+	for _, sc := range p.sidecars {
+		if sc.acceptsOffer(now, e) {
+			total += sc.free
 		}
 	}
 	if total == 0 {
 		return nil
 	}
 	n := s.rng.IntN(total)
-	for _, c := range p.peers {
-		if !c.takesOffers(now, e) {
+	for _, sc := range p.sidecars {
+		if !sc.acceptsOffer(now, e) {
 			continue
 		}
-		if n -= c.free; n < 0 {
-			return c
+		if n -= sc.free; n < 0 {
+			return sc
 		}
 	}
 	return nil
 }
 
-func (c *peer) takesOffers(now time.Time, e *entry) bool {
-	return c.open() && !c.selfEjected && c.free > 0 && !e.avoids(now, c)
+// acceptsOffer reports whether the request may be offered to the sidecar.
+func (sc *sidecar) acceptsOffer(now time.Time, e *entry) bool {
+	return sc.available() && !sc.selfEjected && sc.free > 0 && !e.avoids(now, sc)
 }
 
-// declined places the request again. A decline is proof that it did not run,
-// so it may happen any number of times.
+// declined readmits a request. A declined attempt is known not to have run, so a
+// request may be declined any number of times.
 func (s *State) declined(now time.Time, ev Declined) {
 	e := s.requests[ev.ID]
-	held := e != nil && e.waiting == nil && e.sidecar == ev.Sidecar
-	if held {
+	inFlight := e != nil && e.element == nil && e.sidecar == ev.Sidecar
+	if inFlight {
 		s.release(e)
 	}
-	if c := s.peers[ev.Sidecar]; c != nil {
-		c.free, c.reported = ev.Free, ev.Free
+	if sc := s.sidecars[ev.Sidecar]; sc != nil {
+		sc.free, sc.reportedFree = ev.Free, ev.Free
 	}
-	if !held {
+	if !inFlight {
 		return
 	}
 	s.stats.Declines++
-	s.placeAgain(now, e)
+	s.readmit(now, e)
 }
 
-// pulled answers a sidecar's pull with a request of the team, or with Empty.
+// pulled answers a pull with a request of the team, or with Empty.
 func (s *State) pulled(now time.Time, ev Pulled) {
-	c := s.peers[ev.Sidecar]
-	if c == nil {
+	sc := s.sidecars[ev.Sidecar]
+	if sc == nil {
 		return
 	}
-	q := s.pool(c.service).teams[ev.Team]
-	e := s.pick(now, q, c, ev.Prefixes)
+	q := s.pool(sc.service).teams[ev.Team]
+	e := s.pick(now, q, sc, ev.Prefixes)
 	if e == nil {
 		s.stats.Empties++
 		s.emit(Empty{Sidecar: ev.Sidecar, Pull: ev.Pull})
 		if q != nil {
-			delete(q.seen, c.id)
+			delete(q.registrations, sc.id)
 		}
 		return
 	}
 	s.stats.Pulls++
-	s.unqueue(now, q.pool, e)
-	q.drain.departed()
-	s.send(e, c, ev.Pull)
+	s.dequeue(now, q.pool, e)
+	q.drainRate.recordDeparture()
+	s.send(e, sc, ev.Pull)
 }
 
-// pick chooses the request of the queue that the sidecar gets, or nil.
-func (s *State) pick(now time.Time, q *queue, c *peer, prefixes []uint64) *entry {
+// pick returns the queued request to send to the sidecar, or nil.
+func (s *State) pick(now time.Time, q *queue, sc *sidecar, prefixes []uint64) *entry {
 	if q == nil || q.len() == 0 {
 		return nil
 	}
-	if c.health.Ejected() {
-		return s.pickProbe(now, q, c)
+	if sc.health.Ejected() {
+		return s.pickProbe(now, q, sc)
 	}
-	front := s.firstFor(now, q, c)
+	front := s.firstEligible(now, q, sc)
 	if front == nil {
 		return nil
 	}
-	if e := s.pickCached(now, q, c, front, prefixes); e != nil {
+	if e := s.pickCached(now, q, sc, front, prefixes); e != nil {
 		return e
 	}
 	return front
 }
 
-// firstFor returns the first request that the sidecar may get: not one that
-// failed there, unless no other sidecar takes work.
-func (s *State) firstFor(now time.Time, q *queue, c *peer) *entry {
-	for el := q.waiting.Front(); el != nil; el = el.Next() {
-		if e := entryOf(el); !e.avoids(now, c) || q.pool.openPeers() < 2 {
+// firstEligible returns the first request that may be sent to the sidecar, or
+// nil. A request that failed there is skipped unless no other sidecar is
+// available.
+func (s *State) firstEligible(now time.Time, q *queue, sc *sidecar) *entry {
+	for el := q.entries.Front(); el != nil; el = el.Next() {
+		if e := entryOf(el); !e.avoids(now, sc) || q.pool.availableSidecars() < 2 {
 			return e
 		}
 	}
 	return nil
 }
 
-// pickCached returns a request among the first few whose prefix the backend
-// server served last. Nobody is overtaken too often or by one much younger.
-func (s *State) pickCached(now time.Time, q *queue, c *peer, front *entry, prefixes []uint64) *entry {
+// pickCached returns the first request within Reorder.Depth whose prefix the
+// backend server has likely cached, or nil if there is none or the front request
+// is to be sent. It does not exceed Reorder.MaxAge and Reorder.MaxOvertaken.
+func (s *State) pickCached(now time.Time, q *queue, sc *sidecar, front *entry, prefixes []uint64) *entry {
 	if len(prefixes) == 0 || slices.Contains(prefixes, front.req.Prefix) && front.req.Prefix != 0 {
 		return nil
 	}
 	r := s.cfg.Reorder
-	el := front.waiting
+	el := front.element
 	for i := 0; i < r.Depth && el != nil; i++ {
 		e := entryOf(el)
 		if e.arrived.Sub(front.arrived) > r.MaxAge {
 			return nil
 		}
-		if e.req.Prefix != 0 && !e.avoids(now, c) && slices.Contains(prefixes, e.req.Prefix) {
-			overtake(front.waiting, el)
+		if e.req.Prefix != 0 && !e.avoids(now, sc) && slices.Contains(prefixes, e.req.Prefix) {
+			overtake(front.element, el)
 			s.stats.Reordered++
 			return e
 		}
@@ -177,7 +181,8 @@
 	return nil
 }
 
-// overtake counts that the requests from one place up to another are passed.
+// overtake increments the overtaken count of each entry from one position up to
+// another, exclusive.
 func overtake(from, to *list.Element) {
 	for el := from; el != to; el = el.Next() {
 		entryOf(el).overtaken++
--- a/coordination/dispatch/push_test.go
+++ b/coordination/dispatch/push_test.go
@@ -10,7 +10,7 @@
 	"goldcrestport/coordination/dispatch"
 )
 
-func TestPushFIFOSendsAtOnceToTheLeastLoaded(t *testing.T) {
+func TestPushFIFOSendsToLeastLoaded(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(func(cfg *dispatch.Config) { cfg.Policy = dispatch.PolicyPushFIFO })
 	f.sidecars(3, 4, 4)
@@ -19,14 +19,14 @@
 	got := map[string]int{}
 	for i := range 20 {
 		sent := only[dispatch.Send](f.arrive("a", fmt.Sprint(i)))
-		c.Assert(sent, qt.HasLen, 1, qt.Commentf("nothing waits at the router"))
+		c.Assert(sent, qt.HasLen, 1, qt.Commentf("a request was queued"))
 		got[sent[0].Sidecar]++
 	}
-	// 10, 3 and 0 were there; 33 in all are level at 11 each.
+	// The sidecars have 10, 3 and 0 attempts; with 20 more each has 11.
 	c.Assert(got, qt.DeepEquals, map[string]int{sidecar(0): 1, sidecar(1): 8, sidecar(2): 11})
 }
 
-func TestPushFIFOWaitsAfterADecline(t *testing.T) {
+func TestPushFIFOQueuesAfterDecline(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(func(cfg *dispatch.Config) { cfg.Policy = dispatch.PolicyPushFIFO })
 	f.sidecars(1, 4, 4)
@@ -49,7 +49,7 @@
 		for _, s := range only[dispatch.Send](actions) {
 			running = append(running, s.ID)
 		}
-		c.Assert(len(running) <= 2, qt.IsTrue, qt.Commentf("the router's part of four slots is two"))
+		c.Assert(len(running) <= 2, qt.IsTrue, qt.Commentf("the router's portion of four slots is two"))
 	}
 	for i := range 400 {
 		take(f.arrive("a", fmt.Sprint("a-", i)))
--- a/coordination/dispatch/queue.go
+++ b/coordination/dispatch/queue.go
@@ -5,55 +5,57 @@
 	"time"
 )
 
-// queue holds the waiting requests of one team for one service.
+// queue holds the queued requests of one team for one service.
 type queue struct {
 	team string
 	pool *pool
-	// waiting holds *entry in the order of arrival.
-	waiting *list.List
-	bytes   int64
-	drain   drain
-	// order is the team's own order of the pool's sidecars, of which the
-	// first ones see its work; it was made for the pool's version.
-	order   []*peer
+	// entries holds *entry values in order of arrival.
+	entries   *list.List
+	bytes     int64
+	drainRate drainRate
+	// order is the team's ranking of the pool's sidecars. The team's work is
+	// registered with the first ones. It was computed for the pool's version.
+	order   []*sidecar
 	version int
-	seen    map[string]*registration
-	emptied time.Time
-	// served is the cost sent so far; only PolicyPushFair reads it.
-	served float64
+	// registrations holds what was last sent to each sidecar, by its ID.
+	registrations map[string]*sentRegistration
+	// emptySince is when the queue last became empty.
+	emptySince time.Time
+	// servedCost is the total cost sent so far. Only PolicyPushFair uses it.
+	servedCost float64
 }
 
-// queue returns the team's queue, made at first use.
+// queue returns the team's queue and creates it on first use.
 func (p *pool) queue(s *State, team string) *queue {
 	q := p.teams[team]
 	if q == nil {
 		q = &queue{
-			team:    team,
-			pool:    p,
-			waiting: list.New(),
-			drain:   newDrain(s.cfg.Queues.DrainWindow),
-			version: -1,
-			seen:    map[string]*registration{},
+			team:          team,
+			pool:          p,
+			entries:       list.New(),
+			drainRate:     newDrainRate(s.cfg.Queues.DrainWindow),
+			version:       -1,
+			registrations: map[string]*sentRegistration{},
 		}
 		p.teams[team] = q
 	}
 	return q
 }
 
-func (q *queue) len() int { return q.waiting.Len() }
+func (q *queue) len() int { return q.entries.Len() }
 
 func entryOf(el *list.Element) *entry {
 	if el == nil {
 		return nil
 	}
-	return el.Value.(*entry) // only entries are put in
+	return el.Value.(*entry) // the list contains only entries
 }
 
-func (q *queue) oldest() *entry { return entryOf(q.waiting.Front()) }
-func (q *queue) newest() *entry { return entryOf(q.waiting.Back()) }
+func (q *queue) oldest() *entry { return entryOf(q.entries.Front()) }
+func (q *queue) newest() *entry { return entryOf(q.entries.Back()) }
 
-// wait returns how long the oldest request has waited.
-func (q *queue) wait(now time.Time) time.Duration {
+// oldestWait returns how long the oldest request has waited.
+func (q *queue) oldestWait(now time.Time) time.Duration {
 	e := q.oldest()
 	if e == nil {
 		return 0
@@ -61,49 +63,50 @@
 	return now.Sub(e.arrived)
 }
 
-// enqueue puts the entry in its place by arrival. The caller has checked the
-// bounds.
+// enqueue inserts the entry in order of arrival. The caller has checked the
+// limits.
 func (s *State) enqueue(now time.Time, q *queue, e *entry) {
-	q.drain.advance(now, q.len() > 0)
-	e.waiting = q.insert(e)
+	q.drainRate.advance(now, q.len() > 0)
+	e.element = q.insert(e)
 	q.bytes += e.req.Bytes
 	s.queued++
-	s.bytes += e.req.Bytes
+	s.queuedBytes += e.req.Bytes
 	s.requests[e.req.ID] = e
 	s.deadlines.add(e)
 	q.pool.activate(q)
 }
 
-// insert searches from the end at which the entry belongs: a new one goes to
-// the back, a returned one is older than nearly all that wait.
+// insert adds the entry in order of arrival. A new entry goes to the back. A
+// readmitted entry is older than nearly all others, so the search for its
+// position starts at the front.
 func (q *queue) insert(e *entry) *list.Element {
-	if last := q.newest(); last == nil || e.number > last.number {
-		return q.waiting.PushBack(e)
+	if last := q.newest(); last == nil || e.sequence > last.sequence {
+		return q.entries.PushBack(e)
 	}
-	for el := q.waiting.Front(); el != nil; el = el.Next() {
-		if e.number < entryOf(el).number {
-			return q.waiting.InsertBefore(e, el)
+	for el := q.entries.Front(); el != nil; el = el.Next() {
+		if e.sequence < entryOf(el).sequence {
+			return q.entries.InsertBefore(e, el)
 		}
 	}
-	return q.waiting.PushBack(e)
+	return q.entries.PushBack(e)
 }
 
-// unqueue takes a waiting entry out of its queue.
-func (s *State) unqueue(now time.Time, p *pool, e *entry) {
+// dequeue removes a queued entry from its queue.
+func (s *State) dequeue(now time.Time, p *pool, e *entry) {
 	q := p.queue(s, e.req.Team)
-	q.drain.advance(now, true)
-	q.waiting.Remove(e.waiting)
-	e.waiting = nil
+	q.drainRate.advance(now, true)
+	q.entries.Remove(e.element)
+	e.element = nil
 	q.bytes -= e.req.Bytes
 	s.queued--
-	s.bytes -= e.req.Bytes
+	s.queuedBytes -= e.req.Bytes
 	s.deadlines.remove(e)
 	if q.len() == 0 {
-		q.emptied = now
+		q.emptySince = now
 	}
 }
 
-// fitsTeam reports whether the entry keeps its team within its bounds.
+// fitsTeam reports whether the entry can be queued within its team's limits.
 func (s *State) fitsTeam(q *queue, e *entry) bool {
 	requests, bytes := s.cfg.Queues.PerTeam, s.cfg.Queues.PerTeamBytes
 	if e.req.MaxQueued > 0 {
@@ -115,13 +118,13 @@
 	return q.len() < requests && q.bytes+e.req.Bytes <= bytes
 }
 
-// fitsTotal reports whether the entry keeps the router within its bounds.
+// fitsTotal reports whether the entry can be queued within the router's limits.
 func (s *State) fitsTotal(e *entry) bool {
-	return s.queued < s.cfg.Queues.Total && s.bytes+e.req.Bytes <= s.cfg.Queues.TotalBytes
+	return s.queued < s.cfg.Queues.Total && s.queuedBytes+e.req.Bytes <= s.cfg.Queues.TotalBytes
 }
 
-// usage is the part of the router's bounds that a queue takes up, with so
-// many requests and bytes more.
+// usage returns the fraction of the router's limits that the queue would use
+// with the given number of additional requests and bytes.
 func (s *State) usage(q *queue, requests int, bytes int64) float64 {
 	return max(
 		float64(q.len()+requests)/float64(s.cfg.Queues.Total),
@@ -129,10 +132,11 @@
 	)
 }
 
-// makeRoom brings the queue to where the entry fits, or reports that it does
-// not. A new request never drives out its own team's. A returned one is older
-// and drives out the newest. When the router is full, the queue that takes up
-// most gives way, so that a team with little waiting is always let in.
+// makeRoom refuses queued requests until the entry fits, and reports whether it
+// does. A new request never evicts a request of its own team. A readmitted
+// request is older and evicts the newest one. When the router's limits are
+// reached, the newest request of the queue with the highest usage is evicted, so
+// that a team with few queued requests is always admitted.
 func (s *State) makeRoom(now time.Time, q *queue, e *entry) bool {
 	for !s.fitsTeam(q, e) {
 		if !s.evictYounger(now, q, e) {
@@ -140,7 +144,7 @@
 		}
 	}
 	for !s.fitsTotal(e) {
-		largest := s.largest()
+		largest := s.largestQueue()
 		if largest == nil || largest == q {
 			if !s.evictYounger(now, q, e) {
 				return false
@@ -159,15 +163,16 @@
 // the entry.
 func (s *State) evictYounger(now time.Time, q *queue, e *entry) bool {
 	last := q.newest()
-	if last == nil || last.number < e.number {
+	if last == nil || last.sequence < e.sequence {
 		return false
 	}
 	s.refuse(now, q, last, QueueFull)
 	return true
 }
 
-// largest returns the queue that takes up most of the router's bounds.
-func (s *State) largest() *queue {
+// largestQueue returns the queue with the highest usage of the router's limits,
+// or nil.
+func (s *State) largestQueue() *queue {
 	var best *queue
 	for _, p := range s.sortedPools() {
 		for _, q := range p.active {
--- a/coordination/dispatch/snapshot.go
+++ b/coordination/dispatch/snapshot.go
@@ -6,22 +6,24 @@
 	"time"
 )
 
-// Snapshot is what the router holds and knows at one time, for people.
+// Snapshot is the state of the queues and sidecars at one time, for display to
+// operators.
 type Snapshot struct {
 	Queues []QueueState
 	Peers  []PeerState
 }
 
-// QueueState is the waiting work of one team for one service.
+// QueueState describes the queued work of one team for one service.
 type QueueState struct {
 	Service string
 	Team    string
 	Waiting int
 	Bytes   int64
-	Oldest  time.Duration
+	// Oldest is how long the oldest request has waited.
+	Oldest time.Duration
 }
 
-// PeerState is one sidecar with an open control stream.
+// PeerState describes a sidecar with an open control stream.
 type PeerState struct {
 	Sidecar string
 	Service string
@@ -43,13 +45,13 @@
 				Team:    q.team,
 				Waiting: q.len(),
 				Bytes:   q.bytes,
-				Oldest:  q.wait(now),
+				Oldest:  q.oldestWait(now),
 			})
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.peers)) {
-		c := s.peers[id]
-		out.Peers = append(out.Peers, PeerState{Sidecar: id, Service: c.service, Slots: c.slots, Free: c.free, Leaving: c.leaving})
+	for _, id := range slices.Sorted(maps.Keys(s.sidecars)) {
+		sc := s.sidecars[id]
+		out.Peers = append(out.Peers, PeerState{Sidecar: id, Service: sc.service, Slots: sc.slots, Free: sc.free, Leaving: sc.draining})
 	}
 	return out
 }
--- a/coordination/dispatch/stats.go
+++ b/coordination/dispatch/stats.go
@@ -2,24 +2,28 @@
 
 import "maps"
 
-// Stats counts the decisions since the start.
+// Stats holds counters of the decisions since the start.
 type Stats struct {
-	// Offers sent without a pull, and attempts that sidecars declined.
-	Offers   uint64
+	// Offers is the number of attempts sent without a pull.
+	Offers uint64
+	// Declines is the number of attempts that sidecars declined.
 	Declines uint64
-	// Pulls answered with a request, and with Empty.
-	Pulls   uint64
+	// Pulls is the number of pulls answered with a request.
+	Pulls uint64
+	// Empties is the number of pulls answered with Empty.
 	Empties uint64
-	// Interests is the number of registrations sent.
+	// Interests is the number of registrations and withdrawals sent.
 	Interests uint64
-	// Reordered is the number of pulls answered out of order.
+	// Reordered is the number of pulls answered out of order of arrival.
 	Reordered uint64
-	// Retries granted by the budget; the denied ones are in Refused.
+	// Retries is the number of retries granted by the retry budget. Denied
+	// retries are counted in Refused.
 	Retries uint64
-	// Ejections of sidecars, and Ejected sidecars now.
+	// Ejections is the number of times that a sidecar was ejected.
 	Ejections uint64
-	Ejected   int
-	// Refused requests by reason.
+	// Ejected is the number of sidecars that are ejected now.
+	Ejected int
+	// Refused is the number of refused requests by reason.
 	Refused map[RefuseReason]uint64
 }
 
@@ -27,19 +31,19 @@
 func (s *State) Stats() Stats {
 	out := s.stats
 	out.Refused = maps.Clone(s.stats.Refused)
-	for _, c := range s.peers {
-		if c.health.Ejected() {
+	for _, sc := range s.sidecars {
+		if sc.health.Ejected() {
 			out.Ejected++
 		}
 	}
 	return out
 }
 
-// Waiting returns the number of requests that wait at the router.
+// Waiting returns the number of queued requests.
 func (s *State) Waiting() int { return s.queued }
 
-// WaitingBy returns the number of waiting requests by service and team,
-// without those that have none.
+// WaitingBy returns the number of queued requests by service and team, without
+// empty queues.
 func (s *State) WaitingBy() map[string]map[string]int {
 	out := map[string]map[string]int{}
 	for service, p := range s.pools {
