--- a/coordination/dispatch/bench_test.go
+++ b/coordination/dispatch/bench_test.go
@@ -45,7 +45,7 @@
 	empty := heap()
 	f := design()
 	allocated := heap() - empty
-	before, next := f.Stats().Interests, 0
+	before, next := f.Stats().Registrations, 0
 	b.ResetTimer()
 	for range b.N {
 		for tick := range 50 {
@@ -61,7 +61,7 @@
 		}
 	}
 	b.ReportMetric(float64(allocated)/(1<<20), "MiB")
-	b.ReportMetric(float64(f.Stats().Interests-before)/float64(b.N), "interests/s")
+	b.ReportMetric(float64(f.Stats().Registrations-before)/float64(b.N), "interests/s")
 }
 
 // heap returns the size of the allocated heap in bytes after a collection.
--- a/coordination/dispatch/config.go
+++ b/coordination/dispatch/config.go
@@ -29,7 +29,7 @@
 	// Queues limits the queued requests.
 	Queues Queues
 	// Interest controls the registration of queued work with sidecars.
-	Interest Interest
+	Registration Registration
 	// Reorder bounds the search for a request with a cached prefix.
 	Reorder Reorder
 	// Retry limits repeated attempts.
@@ -74,7 +74,7 @@
 
 // Interest controls the registration of queued work with sidecars: how many
 // sidecars a queue is registered with and how often it is sent to them.
-type Interest struct {
+type Registration struct {
 	// Subset is the number of sidecars with which a queue is registered as
 	// soon as it becomes non-empty. Default 8.
 	Subset int
@@ -83,7 +83,7 @@
 	WidenEvery time.Duration
 	// Slack is the number of slots that the subset of a team must have, as a
 	// multiple of the team's fair share of slots. Default 2.
-	Slack float64
+	FairShareMultiple float64
 	// MaintainEvery is the interval at which registrations are widened,
 	// refreshed and withdrawn. Default 50ms.
 	MaintainEvery time.Duration
@@ -137,14 +137,14 @@
 			DrainWindow:  10 * time.Second,
 			Grace:        2 * time.Second,
 		},
-		Interest: Interest{
-			Subset:        8,
-			WidenEvery:    100 * time.Millisecond,
-			Slack:         2,
-			MaintainEvery: 50 * time.Millisecond,
-			RefreshEvery:  10 * time.Second,
-			WithdrawAfter: 100 * time.Millisecond,
-			PerSecond:     300,
+		Registration: Registration{
+			Subset:            8,
+			WidenEvery:        100 * time.Millisecond,
+			FairShareMultiple: 2,
+			MaintainEvery:     50 * time.Millisecond,
+			RefreshEvery:      10 * time.Second,
+			WithdrawAfter:     100 * time.Millisecond,
+			PerSecond:         300,
 		},
 		Reorder:      Reorder{Depth: 4, MaxAge: 2 * time.Second, MaxOvertaken: 8},
 		Retry:        Retry{Ratio: 0.1, PerSecond: 1, Burst: 20},
@@ -166,7 +166,7 @@
 	check(c.Policy == PolicyPull || c.Policy == PolicyPushFIFO || c.Policy == PolicyPushFair,
 		"Policy must be pull, push-fifo or push-fair")
 	c.Queues.check(check)
-	c.Interest.check(check)
+	c.Registration.check(check)
 	check(c.Reorder.Depth > 0, "Reorder.Depth must be positive")
 	check(c.Reorder.MaxAge >= 0, "Reorder.MaxAge must not be negative")
 	check(c.Reorder.MaxOvertaken >= 0, "Reorder.MaxOvertaken must not be negative")
@@ -188,10 +188,10 @@
 	check(q.Grace >= 0, "Queues.Grace must not be negative")
 }
 
-func (i Interest) check(check func(bool, string)) {
+func (i Registration) check(check func(bool, string)) {
 	check(i.Subset > 0, "Interest.Subset must be positive")
 	check(i.WidenEvery > 0, "Interest.WidenEvery must be positive")
-	check(i.Slack >= 1, "Interest.Slack must be at least 1")
+	check(i.FairShareMultiple >= 1, "Interest.Slack must be at least 1")
 	check(i.MaintainEvery > 0, "Interest.MaintainEvery must be positive")
 	check(i.RefreshEvery > 0, "Interest.RefreshEvery must be positive")
 	check(i.WithdrawAfter >= 0, "Interest.WithdrawAfter must not be negative")
--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -63,7 +63,7 @@
 		shares:        map[string]float64{},
 		routerCount:   1,
 		retryBudget:   newBucket(cfg.Retry.PerSecond, cfg.Retry.Burst),
-		messageBudget: newBucket(cfg.Interest.PerSecond, cfg.Interest.PerSecond),
+		messageBudget: newBucket(cfg.Registration.PerSecond, cfg.Registration.PerSecond),
 		stats:         Stats{Refused: map[RefuseReason]uint64{}},
 	}
 	switch cfg.Policy {
@@ -105,7 +105,7 @@
 	switch ev := ev.(type) {
 	case Arrived:
 		s.arrived(now, ev.Request)
-	case Withdrawn:
+	case Cancelled:
 		s.cancelled(now, ev)
 	case Ended:
 		s.ended(now, ev)
@@ -125,7 +125,7 @@
 		s.succeeded(now, ev)
 	case SharesSet:
 		s.shares = ev.Shares
-	case RoutersSeen:
+	case RouterCountChanged:
 		s.routerCount = max(ev.Count, 1)
 	case Ticked:
 		s.ticked(now)
@@ -185,7 +185,7 @@
 // cancelled deletes a request. If its attempt was to answer a pull, the pull is
 // answered with the next request, so that the sidecar does not wait for an
 // attempt that never starts.
-func (s *State) cancelled(now time.Time, ev Withdrawn) {
+func (s *State) cancelled(now time.Time, ev Cancelled) {
 	e := s.requests[ev.ID]
 	if e == nil {
 		return
@@ -217,7 +217,7 @@
 	if now.Before(s.nextMaintenance) {
 		return
 	}
-	s.nextMaintenance = now.Add(s.cfg.Interest.MaintainEvery)
+	s.nextMaintenance = now.Add(s.cfg.Registration.MaintainEvery)
 	for _, p := range s.sortedPools() {
 		s.maintainPool(now, p)
 		p.deactivateIdle()
--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -86,7 +86,7 @@
 	c := qt.New(t)
 	c.Assert(dispatch.DefaultConfig().Validate(), qt.IsNil)
 	bad := dispatch.DefaultConfig()
-	bad.Policy, bad.Queues.Total, bad.Interest.Subset = "other", 1, 0
+	bad.Policy, bad.Queues.Total, bad.Registration.Subset = "other", 1, 0
 	c.Assert(bad.Validate(), qt.ErrorMatches, "Policy must be.*")
 }
 
@@ -135,7 +135,7 @@
 	actions := f.arrive("light", "light-0")
 	c.Assert(only[dispatch.Refuse](actions), qt.HasLen, 1)
 	c.Assert(only[dispatch.Refuse](actions)[0].ID, qt.Equals, "flood-9")
-	c.Assert(f.WaitingBy()[service], qt.DeepEquals, map[string]int{"flood": 9, "second": 10, "third": 5, "light": 1})
+	c.Assert(f.WaitingByTeam()[service], qt.DeepEquals, map[string]int{"flood": 9, "second": 10, "third": 5, "light": 1})
 	c.Assert(only[dispatch.Refuse](f.arrive("flood", "again"))[0].ID, qt.Equals, "again")
 }
 
@@ -249,7 +249,7 @@
 	f := newFixture(func(cfg *dispatch.Config) { cfg.Queues.PerTeam = 1 })
 	f.sidecars(1, 1, 0)
 	f.arrive("a", "1")
-	f.step(dispatch.Withdrawn{ID: "1"})
+	f.step(dispatch.Cancelled{ID: "1"})
 	c.Assert(only[dispatch.Refuse](f.arrive("a", "2")), qt.HasLen, 0)
 	sent := only[dispatch.Send](f.step(dispatch.Pulled{Sidecar: sidecar(0), Pull: 1, Team: "a"}))
 	c.Assert(sent[0].ID, qt.Equals, "2")
@@ -261,9 +261,9 @@
 	f.sidecars(1, 1, 0)
 	f.fill("a", 2)
 	f.step(dispatch.Pulled{Sidecar: sidecar(0), Pull: 7, Team: "a"})
-	c.Assert(f.step(dispatch.Withdrawn{ID: "a-0", Pull: 7}), qt.DeepEquals,
+	c.Assert(f.step(dispatch.Cancelled{ID: "a-0", Pull: 7}), qt.DeepEquals,
 		[]dispatch.Action{dispatch.Send{ID: "a-1", Sidecar: sidecar(0), Pull: 7}})
-	c.Assert(f.step(dispatch.Withdrawn{ID: "a-1", Pull: 7}), qt.DeepEquals,
+	c.Assert(f.step(dispatch.Cancelled{ID: "a-1", Pull: 7}), qt.DeepEquals,
 		[]dispatch.Action{dispatch.Empty{Sidecar: sidecar(0), Pull: 7}})
 }
 
--- a/coordination/dispatch/ejection_test.go
+++ b/coordination/dispatch/ejection_test.go
@@ -105,12 +105,12 @@
 			return f.step(dispatch.Failed{Sidecar: id})
 		},
 		"draining": func(f *fixture, id string) []dispatch.Action {
-			return f.step(dispatch.LoadReported{Sidecar: id, Slots: 4, Leaving: true})
+			return f.step(dispatch.LoadReported{Sidecar: id, Slots: 4, Draining: true})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			f := newFixture(func(cfg *dispatch.Config) { cfg.Interest.Subset = 1 })
+			f := newFixture(func(cfg *dispatch.Config) { cfg.Registration.Subset = 1 })
 			f.sidecars(3, 4, 0)
 			first := only[dispatch.Register](f.arrive("a", "0"))
 			c.Assert(first, qt.HasLen, 1)
--- a/coordination/dispatch/event.go
+++ b/coordination/dispatch/event.go
@@ -32,7 +32,7 @@
 type Arrived struct{ Request Request }
 
 // Withdrawn reports a request that its caller has cancelled.
-type Withdrawn struct {
+type Cancelled struct {
 	ID string
 	// Pull is the pull that was answered with the request, if the attempt has
 	// not started; 0 for none.
@@ -53,7 +53,7 @@
 	// Waiting is the number of attempts queued at the sidecar.
 	Waiting int
 	// Leaving reports that the sidecar is draining and accepts no new work.
-	Leaving bool
+	Draining bool
 	// Ejected reports that the sidecar itself has ejected its backend server
 	// because its requests failed.
 	Ejected bool
@@ -102,21 +102,21 @@
 type SharesSet struct{ Shares map[string]float64 }
 
 // RoutersSeen reports the number of live routers, including this one.
-type RoutersSeen struct{ Count int }
+type RouterCountChanged struct{ Count int }
 
 // Ticked is the periodic timer event. It triggers maintenance and expiry.
 type Ticked struct{}
 
-func (Arrived) isEvent()      {}
-func (Withdrawn) isEvent()    {}
-func (SidecarUp) isEvent()    {}
-func (SidecarDown) isEvent()  {}
-func (LoadReported) isEvent() {}
-func (Pulled) isEvent()       {}
-func (Declined) isEvent()     {}
-func (Failed) isEvent()       {}
-func (Succeeded) isEvent()    {}
-func (Ended) isEvent()        {}
-func (SharesSet) isEvent()    {}
-func (RoutersSeen) isEvent()  {}
-func (Ticked) isEvent()       {}
+func (Arrived) isEvent()            {}
+func (Cancelled) isEvent()          {}
+func (SidecarUp) isEvent()          {}
+func (SidecarDown) isEvent()        {}
+func (LoadReported) isEvent()       {}
+func (Pulled) isEvent()             {}
+func (Declined) isEvent()           {}
+func (Failed) isEvent()             {}
+func (Succeeded) isEvent()          {}
+func (Ended) isEvent()              {}
+func (SharesSet) isEvent()          {}
+func (RouterCountChanged) isEvent() {}
+func (Ticked) isEvent()             {}
--- a/coordination/dispatch/pool.go
+++ b/coordination/dispatch/pool.go
@@ -146,8 +146,8 @@
 	sc.reportedLoad, sc.sentSinceReport = max(ev.Slots-ev.Free, 0)+ev.Waiting, 0
 	sc.selfEjected = ev.Ejected
 	p := s.pool(sc.service)
-	if sc.draining != ev.Leaving {
-		sc.draining = ev.Leaving
+	if sc.draining != ev.Draining {
+		sc.draining = ev.Draining
 		s.withdrawAll(p, sc)
 		s.checkAvailability(now, p)
 		s.coverPool(now, p)
--- a/coordination/dispatch/property_test.go
+++ b/coordination/dispatch/property_test.go
@@ -34,7 +34,7 @@
 	}).Draw(t, "policy")
 	cfg.Queues.PerTeam, cfg.Queues.Total = 4, 8
 	cfg.Queues.PerTeamBytes, cfg.Queues.TotalBytes = 40, 70
-	cfg.Interest.Subset = rapid.IntRange(1, 2).Draw(t, "subset")
+	cfg.Registration.Subset = rapid.IntRange(1, 2).Draw(t, "subset")
 	cfg.Health.Consecutive = 2
 	cfg.Seed = rapid.Uint64().Draw(t, "seed")
 	return &model{
@@ -71,7 +71,7 @@
 			switch ev := ev.(type) {
 			case dispatch.Pulled:
 				m.registrations[a.Sidecar+"/"+ev.Team] = false
-			case dispatch.Withdrawn:
+			case dispatch.Cancelled:
 				m.registrations[a.Sidecar+"/"+m.requests[ev.ID].Team] = false
 			}
 		}
@@ -198,7 +198,7 @@
 	case 5:
 		slots := rapid.IntRange(0, 3).Draw(m.t, "slots")
 		m.draining[id] = m.connected[id] && rapid.IntRange(0, 2).Draw(m.t, "draining") == 0
-		m.step(dispatch.LoadReported{Sidecar: id, Slots: slots, Free: rapid.IntRange(0, slots).Draw(m.t, "free"), Leaving: m.draining[id]})
+		m.step(dispatch.LoadReported{Sidecar: id, Slots: slots, Free: rapid.IntRange(0, slots).Draw(m.t, "free"), Draining: m.draining[id]})
 	case 6:
 		team := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(m.t, "pulled")
 		m.step(dispatch.Pulled{Sidecar: id, Pull: 1, Team: team, Prefixes: []uint64{1}})
@@ -225,7 +225,7 @@
 		if r, at, ok := m.attempt(); ok {
 			if rapid.Bool().Draw(m.t, "cancelled") {
 				delete(m.inFlight, r)
-				m.step(dispatch.Withdrawn{ID: r, Pull: uint64(rapid.IntRange(0, 1).Draw(m.t, "open pull"))})
+				m.step(dispatch.Cancelled{ID: r, Pull: uint64(rapid.IntRange(0, 1).Draw(m.t, "open pull"))})
 				return
 			}
 			m.step(dispatch.Succeeded{ID: r, Sidecar: at})
--- a/coordination/dispatch/push_test.go
+++ b/coordination/dispatch/push_test.go
@@ -40,7 +40,7 @@
 	c := qt.New(t)
 	f := newFixture(func(cfg *dispatch.Config) { cfg.Policy = dispatch.PolicyPushFair })
 	f.step(dispatch.SharesSet{Shares: map[string]float64{"a": 3, "b": 1}})
-	f.step(dispatch.RoutersSeen{Count: 2})
+	f.step(dispatch.RouterCountChanged{Count: 2})
 	f.sidecars(1, 4, 4)
 	cost := map[string]float64{"a": 1, "b": 4}
 	served := map[string]float64{}
--- a/coordination/dispatch/registration.go
+++ b/coordination/dispatch/registration.go
@@ -29,7 +29,7 @@
 // now too small. The latter stops when the message budget is exhausted; the
 // remaining ones follow at the next maintenance.
 func (s *State) registerGrowth(now time.Time, q *queue) {
-	s.cover(now, q, coverage{sidecars: s.cfg.Interest.Subset})
+	s.cover(now, q, coverage{sidecars: s.cfg.Registration.Subset})
 	for _, sc := range s.sidecarOrder(q) {
 		r := q.registrations[sc.id]
 		if r == nil || r.count >= q.len() {
@@ -87,7 +87,7 @@
 	}
 	for _, q := range p.active {
 		if q.len() > 0 {
-			s.cover(now, q, coverage{sidecars: s.cfg.Interest.Subset})
+			s.cover(now, q, coverage{sidecars: s.cfg.Registration.Subset})
 		}
 	}
 }
@@ -120,7 +120,7 @@
 		r.count = roundUp(q.len())
 	}
 	r.spread, r.sent = len(q.registrations), now
-	s.stats.Interests++
+	s.stats.Registrations++
 	s.emit(Register{Sidecar: sc.id, Team: q.team, Count: r.count, Oldest: q.oldestWait(now), Spread: r.spread})
 }
 
@@ -131,7 +131,7 @@
 // withdraw ends the registration of a queue with one sidecar.
 func (s *State) withdraw(q *queue, sc *sidecar) {
 	delete(q.registrations, sc.id)
-	s.stats.Interests++
+	s.stats.Registrations++
 	s.emit(Register{Sidecar: sc.id, Team: q.team})
 }
 
@@ -230,13 +230,13 @@
 // too large rather than too small.
 func (s *State) widen(now time.Time, q *queue, fairSlots float64) {
 	wait := q.oldestWait(now)
-	if wait < s.cfg.Interest.WidenEvery {
+	if wait < s.cfg.Registration.WidenEvery {
 		return
 	}
-	doublings := min(int(wait/s.cfg.Interest.WidenEvery), maxDoublings)
+	doublings := min(int(wait/s.cfg.Registration.WidenEvery), maxDoublings)
 	s.cover(now, q, coverage{
-		sidecars: s.cfg.Interest.Subset << doublings,
-		slots:    s.cfg.Interest.Slack * fairSlots,
+		sidecars: s.cfg.Registration.Subset << doublings,
+		slots:    s.cfg.Registration.FairShareMultiple * fairSlots,
 		budgeted: true,
 	})
 }
@@ -250,7 +250,7 @@
 			continue
 		}
 		spreadGrew := 4*len(q.registrations) > 5*r.spread
-		refreshDue := now.Sub(r.sent) >= s.cfg.Interest.RefreshEvery
+		refreshDue := now.Sub(r.sent) >= s.cfg.Registration.RefreshEvery
 		if r.fits(q.len()) && !spreadGrew && !refreshDue {
 			continue
 		}
@@ -264,7 +264,7 @@
 // withdrawIdle withdraws the registrations of a queue that has been empty for
 // WithdrawAfter. Until then they are kept, and a pull is answered with Empty.
 func (s *State) withdrawIdle(now time.Time, q *queue) {
-	if len(q.registrations) == 0 || now.Sub(q.emptySince) < s.cfg.Interest.WithdrawAfter {
+	if len(q.registrations) == 0 || now.Sub(q.emptySince) < s.cfg.Registration.WithdrawAfter {
 		return
 	}
 	for _, sc := range s.sidecarOrder(q) {
--- a/coordination/dispatch/registration_test.go
+++ b/coordination/dispatch/registration_test.go
@@ -23,7 +23,7 @@
 
 func TestSubsetWidensWithWait(t *testing.T) {
 	c := qt.New(t)
-	f := newFixture(func(cfg *dispatch.Config) { cfg.Interest.PerSecond = 5000 })
+	f := newFixture(func(cfg *dispatch.Config) { cfg.Registration.PerSecond = 5000 })
 	f.sidecars(60, 8, 0)
 	for i := range 20 { // enough teams that none has a fair share above 8 sidecars
 		f.arrive(sidecar(i), sidecar(i))
@@ -40,14 +40,14 @@
 	}
 	c.Assert(widen(180*time.Millisecond), qt.Equals, 16)
 	c.Assert(widen(400*time.Millisecond), qt.Equals, 60)
-	f.step(dispatch.Withdrawn{ID: "0"})
+	f.step(dispatch.Cancelled{ID: "0"})
 	c.Assert(widen(time.Second), qt.Equals, 0)
 }
 
 func TestSubsetCoversMultipleOfFairShare(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture(func(cfg *dispatch.Config) {
-		cfg.Interest.Subset, cfg.Interest.WidenEvery = 1, 100*time.Millisecond
+		cfg.Registration.Subset, cfg.Registration.WidenEvery = 1, 100*time.Millisecond
 	})
 	f.sidecars(40, 8, 0)
 	f.step(dispatch.SharesSet{Shares: map[string]float64{"a": 3, "b": 1}})
@@ -88,24 +88,24 @@
 	f.sidecars(8, 8, 0)
 	f.fill("a", 20)
 	f.after(time.Second)
-	before := f.Stats().Interests
+	before := f.Stats().Registrations
 	for i := range 2000 {
 		f.arrive("a", sidecar(1000+i))
 		f.step(dispatch.Pulled{Sidecar: sidecar(i % 8), Pull: 1, Team: "a"})
 	}
-	c.Assert(f.Stats().Interests, qt.Equals, before)
+	c.Assert(f.Stats().Registrations, qt.Equals, before)
 }
 
 func TestDeferrableMessagesAreRateLimited(t *testing.T) {
 	c := qt.New(t)
-	f := newFixture(func(cfg *dispatch.Config) { cfg.Interest.PerSecond = 10 })
+	f := newFixture(func(cfg *dispatch.Config) { cfg.Registration.PerSecond = 10 })
 	f.sidecars(200, 8, 0)
 	for i := range 20 {
 		f.arrive(sidecar(i), sidecar(i))
 	}
-	before := f.Stats().Interests
+	before := f.Stats().Registrations
 	f.after(2 * time.Second)
-	sent := f.Stats().Interests - before
+	sent := f.Stats().Registrations - before
 	c.Assert(sent <= 30, qt.IsTrue, qt.Commentf("%d", sent))
 }
 
--- a/coordination/dispatch/snapshot.go
+++ b/coordination/dispatch/snapshot.go
@@ -9,8 +9,8 @@
 // Snapshot is the state of the queues and sidecars at one time, for display to
 // operators.
 type Snapshot struct {
-	Queues []QueueState
-	Peers  []PeerState
+	Queues   []QueueState
+	Sidecars []SidecarState
 }
 
 // QueueState describes the queued work of one team for one service.
@@ -24,12 +24,12 @@
 }
 
 // PeerState describes a sidecar with an open control stream.
-type PeerState struct {
-	Sidecar string
-	Service string
-	Slots   int
-	Free    int
-	Leaving bool
+type SidecarState struct {
+	Sidecar  string
+	Service  string
+	Slots    int
+	Free     int
+	Draining bool
 }
 
 // Snapshot returns the non-empty queues and the sidecars, sorted by name.
@@ -51,7 +51,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.sidecars)) {
 		sc := s.sidecars[id]
-		out.Peers = append(out.Peers, PeerState{Sidecar: id, Service: sc.service, Slots: sc.slots, Free: sc.free, Leaving: sc.draining})
+		out.Sidecars = append(out.Sidecars, SidecarState{Sidecar: id, Service: sc.service, Slots: sc.slots, Free: sc.free, Draining: sc.draining})
 	}
 	return out
 }
--- a/coordination/dispatch/snapshot_test.go
+++ b/coordination/dispatch/snapshot_test.go
@@ -18,7 +18,7 @@
 	}
 	got := s.Snapshot(t0.Add(time.Second))
 	c.Assert(got, qt.DeepEquals, Snapshot{
-		Queues: []QueueState{{Service: "m", Team: "a", Waiting: 2, Bytes: 10, Oldest: time.Second}},
-		Peers:  []PeerState{{Sidecar: "s1", Service: "m", Slots: 4}},
+		Queues:   []QueueState{{Service: "m", Team: "a", Waiting: 2, Bytes: 10, Oldest: time.Second}},
+		Sidecars: []SidecarState{{Sidecar: "s1", Service: "m", Slots: 4}},
 	})
 }
--- a/coordination/dispatch/stats.go
+++ b/coordination/dispatch/stats.go
@@ -13,7 +13,7 @@
 	// Empties is the number of pulls answered with Empty.
 	Empties uint64
 	// Interests is the number of registrations and withdrawals sent.
-	Interests uint64
+	Registrations uint64
 	// Reordered is the number of pulls answered out of order of arrival.
 	Reordered uint64
 	// Retries is the number of retries granted by the retry budget. Denied
@@ -44,7 +44,7 @@
 
 // WaitingBy returns the number of queued requests by service and team, without
 // empty queues.
-func (s *State) WaitingBy() map[string]map[string]int {
+func (s *State) WaitingByTeam() map[string]map[string]int {
 	out := map[string]map[string]int{}
 	for service, p := range s.pools {
 		for _, q := range p.active {
--- a/transport/router/call.go
+++ b/transport/router/call.go
@@ -55,7 +55,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			r.dispatcher.post(r.ctx, message{event: dispatch.Withdrawn{ID: c.id}})
+			r.dispatcher.post(r.ctx, message{event: dispatch.Cancelled{ID: c.id}})
 			r.finish(w, c, gaveUp(ctx, c))
 			return
 		case d := <-c.decisions:
--- a/transport/router/dispatch_vars.go
+++ b/transport/router/dispatch_vars.go
@@ -51,7 +51,7 @@
 		"declines":  s.Declines,
 		"pulls":     s.Pulls,
 		"empties":   s.Empties,
-		"interests": s.Interests,
+		"interests": s.Registrations,
 		"reordered": s.Reordered,
 		"retries":   s.Retries,
 		"ejections": s.Ejections,
--- a/transport/router/dispatcher.go
+++ b/transport/router/dispatcher.go
@@ -104,7 +104,7 @@
 		}
 		d.step(dispatch.SharesSet{Shares: shares})
 	}
-	d.vars.set(d.core.WaitingBy(), d.core.Stats())
+	d.vars.set(d.core.WaitingByTeam(), d.core.Stats())
 }
 
 func (d *dispatcher) handle(m message) {
@@ -123,7 +123,7 @@
 		d.calls[ev.Request.ID] = m.call
 	case dispatch.Ended:
 		delete(d.calls, ev.ID)
-	case dispatch.Withdrawn:
+	case dispatch.Cancelled:
 		if c := d.calls[ev.ID]; c != nil {
 			ev.Pull = c.unstarted()
 			m.event = ev
--- a/transport/router/link.go
+++ b/transport/router/link.go
@@ -95,7 +95,7 @@
 			go l.r.keepLink(sub, i)
 		}
 	}
-	l.r.dispatcher.post(ctx, message{event: dispatch.RoutersSeen{Count: routers}})
+	l.r.dispatcher.post(ctx, message{event: dispatch.RouterCountChanged{Count: routers}})
 	for key, cancel := range l.open {
 		if !seen[key] {
 			cancel()
@@ -221,12 +221,12 @@
 			r.heard(l, load)
 			r.sidecarReports.Store(l.id, load)
 			r.dispatcher.post(ctx, message{event: dispatch.LoadReported{
-				Sidecar: l.id,
-				Slots:   int(load.Slots),
-				Free:    int(load.Free),
-				Waiting: int(load.Waiting),
-				Leaving: load.Leaving,
-				Ejected: load.Ejected,
+				Sidecar:  l.id,
+				Slots:    int(load.Slots),
+				Free:     int(load.Free),
+				Waiting:  int(load.Waiting),
+				Draining: load.Leaving,
+				Ejected:  load.Ejected,
 			}})
 		}
 		for _, p := range down.Pulls {
--- a/transport/router/operators.go
+++ b/transport/router/operators.go
@@ -95,7 +95,7 @@
 	snapshot := r.snapshot()
 	doc := r.doc.Load()
 	out := operator.Status{Router: r.set.ID, Revision: r.revision()}
-	out.Backends = r.backendStatus(doc, snapshot.Peers)
+	out.Backends = r.backendStatus(doc, snapshot.Sidecars)
 	if doc != nil {
 		out.Teams = len(doc.Teams)
 		out.Services = serviceStatus(doc, out.Backends)
@@ -106,7 +106,7 @@
 }
 
 // backendStatus joins the platform's list with the open control streams.
-func (r *Router) backendStatus(doc *config.Document, peers []dispatch.PeerState) []operator.Backend {
+func (r *Router) backendStatus(doc *config.Document, peers []dispatch.SidecarState) []operator.Backend {
 	byID := map[string]operator.Backend{}
 	sidecars, _ := r.sidecars()
 	for id, i := range sidecars {
@@ -115,7 +115,7 @@
 	for _, p := range peers {
 		b := byID[p.Sidecar]
 		b.ID, b.Service, b.Linked = p.Sidecar, p.Service, true
-		b.Slots, b.Free, b.Leaving = p.Slots, p.Free, p.Leaving || b.Leaving
+		b.Slots, b.Free, b.Leaving = p.Slots, p.Free, p.Draining || b.Leaving
 		if report, ok := r.sidecarReports.Load(p.Sidecar); ok {
 			load, _ := report.(*wire.Load)
 			b.Revision, b.OrdersLeft = load.GetRevision(), int(load.GetOrdersLeft())
