--- a/coordination/dispatch/admit.go
+++ b/coordination/dispatch/admit.go
@@ -96,7 +96,7 @@
 	var after time.Duration
 	switch reason {
 	case NoSidecar:
-		// An outage is expected to last as long again as it has so far.
+		// An outage is expected to continue for as long as it has lasted.
 		after = now.Sub(q.pool.noSidecarSince)
 	case WaitTooLong:
 		after = q.drainRate.estimateWait(q.len()+1) - e.req.Deadline.Sub(now)
--- a/coordination/dispatch/config.go
+++ b/coordination/dispatch/config.go
@@ -28,7 +28,7 @@
 	Policy Policy
 	// Queues limits the queued requests.
 	Queues Queues
-	// Interest controls the registration of queued work with sidecars.
+	// Registration controls the registration of queued work with sidecars.
 	Registration Registration
 	// Reorder bounds the search for a request with a cached prefix.
 	Reorder Reorder
@@ -72,7 +72,7 @@
 	Grace time.Duration
 }
 
-// Interest controls the registration of queued work with sidecars: how many
+// Registration controls the registration of queued work with sidecars: how many
 // sidecars a queue is registered with and how often it is sent to them.
 type Registration struct {
 	// Subset is the number of sidecars with which a queue is registered as
@@ -81,8 +81,8 @@
 	// WidenEvery is the interval at which the subset doubles while the oldest
 	// request waits. Default 100ms.
 	WidenEvery time.Duration
-	// Slack is the number of slots that the subset of a team must have, as a
-	// multiple of the team's fair share of slots. Default 2.
+	// FairShareMultiple is the number of slots that the subset of a team must
+	// have, as a multiple of the team's fair share of slots. Default 2.
 	FairShareMultiple float64
 	// MaintainEvery is the interval at which registrations are widened,
 	// refreshed and withdrawn. Default 50ms.
@@ -188,12 +188,12 @@
 	check(q.Grace >= 0, "Queues.Grace must not be negative")
 }
 
-func (i Registration) check(check func(bool, string)) {
-	check(i.Subset > 0, "Interest.Subset must be positive")
-	check(i.WidenEvery > 0, "Interest.WidenEvery must be positive")
-	check(i.FairShareMultiple >= 1, "Interest.Slack must be at least 1")
-	check(i.MaintainEvery > 0, "Interest.MaintainEvery must be positive")
-	check(i.RefreshEvery > 0, "Interest.RefreshEvery must be positive")
-	check(i.WithdrawAfter >= 0, "Interest.WithdrawAfter must not be negative")
-	check(i.PerSecond > 0, "Interest.PerSecond must be positive")
+func (r Registration) check(check func(bool, string)) {
+	check(r.Subset > 0, "Registration.Subset must be positive")
+	check(r.WidenEvery > 0, "Registration.WidenEvery must be positive")
+	check(r.FairShareMultiple >= 1, "Registration.FairShareMultiple must be at least 1")
+	check(r.MaintainEvery > 0, "Registration.MaintainEvery must be positive")
+	check(r.RefreshEvery > 0, "Registration.RefreshEvery must be positive")
+	check(r.WithdrawAfter >= 0, "Registration.WithdrawAfter must not be negative")
+	check(r.PerSecond > 0, "Registration.PerSecond must be positive")
 }
--- a/coordination/dispatch/event.go
+++ b/coordination/dispatch/event.go
@@ -31,7 +31,8 @@
 // Arrived reports a new request. Its ID must be unique.
 type Arrived struct{ Request Request }
 
-// Withdrawn reports a request that its caller has cancelled.
+// Cancelled reports a request that its caller has cancelled or whose caller has
+// disconnected.
 type Cancelled struct {
 	ID string
 	// Pull is the pull that was answered with the request, if the attempt has
@@ -52,7 +53,7 @@
 	Free    int
 	// Waiting is the number of attempts queued at the sidecar.
 	Waiting int
-	// Leaving reports that the sidecar is draining and accepts no new work.
+	// Draining reports that the sidecar accepts no new work.
 	Draining bool
 	// Ejected reports that the sidecar itself has ejected its backend server
 	// because its requests failed.
@@ -101,7 +102,7 @@
 // SharesSet replaces the shares of the teams.
 type SharesSet struct{ Shares map[string]float64 }
 
-// RoutersSeen reports the number of live routers, including this one.
+// RouterCountChanged reports the number of live routers, including this one.
 type RouterCountChanged struct{ Count int }
 
 // Ticked is the periodic timer event. It triggers maintenance and expiry.
--- a/coordination/dispatch/registration.go
+++ b/coordination/dispatch/registration.go
@@ -155,8 +155,8 @@
 }
 
 // sidecarOrder returns the pool's sidecars in an order specific to the team
-// (rendezvous hashing). When a sidecar joins or leaves, the order of the others
-// is unchanged.
+// (rendezvous hashing). When a sidecar connects or disconnects, the order of the
+// others is unchanged.
 func (s *State) sidecarOrder(q *queue) []*sidecar {
 	if q.version == q.pool.version {
 		return q.order
@@ -225,9 +225,9 @@
 }
 
 // widen extends the queue's subset the longer its oldest request waits, and until
-// the subset has Slack times the team's fair share of slots. The fair share is
-// computed among the teams with requests queued at this router only, so it is
-// too large rather than too small.
+// the subset has FairShareMultiple times the team's fair share of slots. The fair
+// share is computed among the teams with requests queued at this router only, so
+// it is too large rather than too small.
 func (s *State) widen(now time.Time, q *queue, fairSlots float64) {
 	wait := q.oldestWait(now)
 	if wait < s.cfg.Registration.WidenEvery {
--- a/coordination/dispatch/registration_test.go
+++ b/coordination/dispatch/registration_test.go
@@ -9,7 +9,8 @@
 	"goldcrestport/coordination/dispatch"
 )
 
-// registered applies Register actions to the counts registered by sidecar.
+// applyRegistrations applies Register actions to the registered counts, which
+// are by sidecar.
 func applyRegistrations(counts map[string]int, actions []dispatch.Action) map[string]int {
 	for _, r := range only[dispatch.Register](actions) {
 		if r.Count == 0 {
--- a/coordination/dispatch/snapshot.go
+++ b/coordination/dispatch/snapshot.go
@@ -23,7 +23,7 @@
 	Oldest time.Duration
 }
 
-// PeerState describes a sidecar with an open control stream.
+// SidecarState describes a sidecar with an open control stream.
 type SidecarState struct {
 	Sidecar  string
 	Service  string
--- a/coordination/dispatch/stats.go
+++ b/coordination/dispatch/stats.go
@@ -12,7 +12,7 @@
 	Pulls uint64
 	// Empties is the number of pulls answered with Empty.
 	Empties uint64
-	// Interests is the number of registrations and withdrawals sent.
+	// Registrations is the number of registrations and withdrawals sent.
 	Registrations uint64
 	// Reordered is the number of pulls answered out of order of arrival.
 	Reordered uint64
@@ -42,7 +42,7 @@
 // Waiting returns the number of queued requests.
 func (s *State) Waiting() int { return s.queued }
 
-// WaitingBy returns the number of queued requests by service and team, without
+// WaitingByTeam returns the number of queued requests by service and team, without
 // empty queues.
 func (s *State) WaitingByTeam() map[string]map[string]int {
 	out := map[string]map[string]int{}
