--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -28,18 +28,18 @@
 	return Request{Service: "llm", Class: "c", Prompt: tokens, Output: 100, Shared: shared}
 }
 
-func TestConfigNamesWhatIsWrong(t *testing.T) {
+func TestConfigErrorNamesField(t *testing.T) {
 	qt.Check(t, DefaultConfig().Validate(), qt.IsNil)
 	bad := DefaultConfig()
-	bad.ReadRate, bad.OwnReading = 0, 1
-	qt.Check(t, bad.Validate(), qt.ErrorMatches, "(?s).*ReadRate.*")
+	bad.PrefillRate, bad.OwnPrefillShare = 0, 1
+	qt.Check(t, bad.Validate(), qt.ErrorMatches, "(?s).*PrefillRate.*")
 }
 
-// Pattern: one reading of 12,000 tokens holds everyone behind it for 180 ms.
-// Ground: an engine reads 66 tokens in a millisecond, in order of arrival.
-// What would begin too late is refused at once, with the time at which it
-// would not.
-func TestALongPromptAheadRefusesWithATrueTime(t *testing.T) {
+// Guards against admitting requests behind a long prompt: an engine prefills 66
+// tokens per millisecond in order of arrival, so a prompt of 12,000 tokens delays
+// all requests behind it by 180 ms. A request that would start too late is refused
+// at once, with the time at which it would be admitted.
+func TestLongPromptAheadRefusesWithRetryTime(t *testing.T) {
 	s := engines(1)
 	d := s.Place(epoch, prompt(30000))
 	qt.Assert(t, d.Verdict, qt.Equals, Send)
@@ -47,33 +47,34 @@
 	qt.Assert(t, refused.Verdict, qt.Equals, Refuse)
 	qt.Check(t, refused.Wait > 450*time.Millisecond, qt.IsTrue)
 	qt.Check(t, refused.RetryAfter, qt.Equals, refused.Wait-refused.Limit)
-	// When the first token is there, the engine has read it.
+	// The first token shows that the engine has finished the prefill.
 	s.FirstByte(epoch, d.Run)
 	qt.Check(t, s.Place(epoch, prompt(600)).Verdict, qt.Equals, Send)
 }
 
-// Pattern: long and short prompts share engines. Ground: trials; a quarter of
-// the own reading taken off serves most, more starves the largest tenth.
+// Guards against long prompts that leave no room for short ones. In experiments,
+// subtracting a quarter of a request's own prefill time from its wait limit served
+// most requests; more starved the largest tenth.
 func TestLongPromptsLeaveRoomForShortOnes(t *testing.T) {
 	s := engines(1)
 	s.Place(epoch, prompt(14000))
 	qt.Check(t, s.Place(epoch, prompt(20000)).Verdict, qt.Equals, Refuse)
 	qt.Check(t, s.Place(epoch, prompt(600)).Verdict, qt.Equals, Send)
-	// The largest prompts keep a part of the patience.
+	// The largest prompts keep a part of the wait limit.
 	s = engines(1)
 	s.Place(epoch, prompt(5000))
 	qt.Check(t, s.Place(epoch, prompt(54000)).Verdict, qt.Equals, Send)
 }
 
-// Pattern: 176 documents of 5,000 tokens are asked about again and again.
-// Ground: reading one costs 75 ms; the same server is found by all routers, and
-// it changes only for the parts of a server that comes or goes.
-func TestTheSamePartGoesToTheSameServer(t *testing.T) {
+// Guards against repeated prefills of documents that many requests share, here 176
+// documents of 5,000 tokens whose prefill takes 75 ms each. All routers choose the
+// same server for a prefix, and when a server is removed only its own prefixes move.
+func TestSamePrefixGoesToSameServer(t *testing.T) {
 	a, b := engines(12), engines(12)
 	moved := 0
 	b.Remove("i-3")
-	for part := range uint64(200) {
-		req := prompt(6000, Part{ID: part * 7919, Tokens: 5000})
+	for prefix := range uint64(200) {
+		req := prompt(6000, Part{ID: prefix * 7919, Tokens: 5000})
 		first, again := a.Place(epoch, req), a.Place(epoch, req)
 		qt.Assert(t, first.Server, qt.Equals, again.Server)
 		a.Ended(epoch, first.Run, health.Success)
@@ -88,9 +89,10 @@
 	qt.Check(t, moved > 5 && moved < 35, qt.IsTrue, qt.Commentf("%d moved", moved))
 }
 
-// Pattern: one document gets much of the traffic. It spills to the next server
-// of its order once waiting costs more than reading it there.
-func TestAHotPartSpillsToTheNextServer(t *testing.T) {
+// Guards against overloading one server when a single document gets much of the
+// traffic: requests go to the next server by rank once waiting costs more than a
+// repeated prefill.
+func TestHotPrefixSpillsToNextServer(t *testing.T) {
 	s := engines(12)
 	used := map[string]int{}
 	for range 40 {
@@ -102,10 +104,9 @@
 	qt.Check(t, len(used), qt.Equals, s.cfg.Candidates, qt.Commentf("%v", used))
 }
 
-// Pattern: a team asks for many times its share. What is beyond is refused
-// first, and the small team beside it is not. Ground: beyond its share of the
-// engines' tokens a team is owed nothing.
-func TestAFloodIsRefusedBeforeSmallTeams(t *testing.T) {
+// Guards against a small team being refused because another team demands many times
+// its share: only the excess of the latter is refused.
+func TestFloodIsRefusedBeforeSmallTeams(t *testing.T) {
 	s := engines(2)
 	s.SetCapacity(50000)
 	now := epoch
@@ -133,31 +134,31 @@
 	qt.Check(t, sent["flood"] < asked["flood"]*7/10, qt.IsTrue, qt.Commentf("%d of %d", sent["flood"], asked["flood"]))
 }
 
-// Pattern: two teams flood. The one that got less goes first.
-func TestBetweenTwoFloodsTheOneWithLessGoesFirst(t *testing.T) {
+// Of two teams beyond their shares, the one that received less has the larger wait
+// limit.
+func TestTeamThatReceivedLessHasLargerFactor(t *testing.T) {
 	s := engines(1)
-	qt.Check(t, s.turn(standing{share: 1.5}) > s.turn(standing{share: 3}), qt.IsTrue)
-	qt.Check(t, s.turn(standing{}), qt.Equals, s.cfg.Below)
+	qt.Check(t, s.standingFactor(standing{share: 1.5}) > s.standingFactor(standing{share: 3}), qt.IsTrue)
+	qt.Check(t, s.standingFactor(standing{}), qt.Equals, s.cfg.UnderShareFactor)
 	for _, pair := range [][2]float64{{0.2, 0.9}, {0.9, 1.1}, {1.1, 1.3}, {1.3, 2}} {
-		qt.Check(t, s.turn(standing{share: pair[0]}) > s.turn(standing{share: pair[1]}), qt.IsTrue, qt.Commentf("%v", pair))
+		qt.Check(t, s.standingFactor(standing{share: pair[0]}) > s.standingFactor(standing{share: pair[1]}), qt.IsTrue, qt.Commentf("%v", pair))
 	}
 }
 
-// Pattern: refused callers come back once. Ground: a second refusal is the
-// last, and the caller has waited already.
-func TestACallerThatComesBackGoesBeforeAFreshOne(t *testing.T) {
+// A refused caller that comes back has a larger wait limit than a new one: it has
+// waited already, and a second refusal is final.
+func TestReturningCallerIsAdmittedBeforeNewOne(t *testing.T) {
 	s := engines(1)
 	s.Place(epoch, prompt(19000))
-	fresh, back := prompt(1000), prompt(1000)
-	back.Elapsed = 200 * time.Millisecond
-	qt.Check(t, s.Place(epoch, fresh).Verdict, qt.Equals, Refuse)
-	qt.Check(t, s.Place(epoch, back).Verdict, qt.Equals, Send)
+	first, returning := prompt(1000), prompt(1000)
+	returning.Elapsed = 200 * time.Millisecond
+	qt.Check(t, s.Place(epoch, first).Verdict, qt.Equals, Refuse)
+	qt.Check(t, s.Place(epoch, returning).Verdict, qt.Equals, Send)
 }
 
-// Pattern: thirty routers send to the same engines. What the others told
-// counts; those that told nothing are presumed to send as the rest do; a word
-// that is old counts no more.
-func TestOtherRoutersWorkCounts(t *testing.T) {
+// The work that other routers report counts. Routers without a report are assumed to
+// have as much in flight as the others on average, and reports expire.
+func TestWorkOfOtherRoutersCounts(t *testing.T) {
 	a, b := engines(1), engines(1)
 	a.SetRouters(2)
 	b.SetRouters(2)
@@ -165,62 +166,63 @@
 	b.Told(epoch, "a", a.Digest(epoch, true, true))
 	qt.Check(t, b.Place(epoch, prompt(1000)).Verdict, qt.Equals, Refuse)
 	qt.Check(t, b.PeersAge(epoch.Add(40*time.Millisecond)), qt.Equals, 40*time.Millisecond)
-	b.Tick(epoch.Add(peerTime + time.Millisecond))
-	qt.Check(t, b.PeersAge(epoch.Add(2*peerTime)), qt.Equals, time.Duration(0))
+	b.Tick(epoch.Add(peerTTL + time.Millisecond))
+	qt.Check(t, b.PeersAge(epoch.Add(2*peerTTL)), qt.Equals, time.Duration(0))
 	qt.Check(t, b.Place(epoch, prompt(1000)).Verdict, qt.Equals, Send)
 
 	alone := engines(1)
 	alone.SetRouters(4)
 	alone.Place(epoch, prompt(8000))
-	one := alone.servers["i-0"]
-	queue, _ := alone.wait(one, alone.load(one))
-	qt.Check(t, queue > 4*alone.reading(8000), qt.IsTrue)
+	srv := alone.servers["i-0"]
+	queue, _ := alone.queueWait(srv, alone.queueAt(srv))
+	qt.Check(t, queue > 4*alone.prefillTime(8000), qt.IsTrue)
 }
 
-// A digest of changes that is lost is mended by the next whole one.
-func TestWholeDigestsMendWhatWasLost(t *testing.T) {
+// A lost digest of changes is corrected by the next full one.
+func TestFullDigestCorrectsLostOne(t *testing.T) {
 	a, b := engines(2), engines(2)
 	run := a.Place(epoch, prompt(5000)).Run
 	b.Told(epoch, "a", a.Digest(epoch, false, false))
-	qt.Check(t, b.others, qt.HasLen, 1)
+	qt.Check(t, b.peersInFlight, qt.HasLen, 1)
 	a.Ended(epoch, run, health.Success)
 	a.Digest(epoch, false, false) // lost
 	qt.Check(t, a.Digest(epoch, false, false).Servers, qt.HasLen, 0)
-	qt.Check(t, b.others, qt.HasLen, 1)
+	qt.Check(t, b.peersInFlight, qt.HasLen, 1)
 	b.Told(epoch, "a", a.Digest(epoch, true, false))
-	qt.Check(t, b.others, qt.HasLen, 0)
+	qt.Check(t, b.peersInFlight, qt.HasLen, 0)
 }
 
-// Pattern: engines of 32 slots fill up with long generations. Ground: a run
-// past the slots waits until one of them ends.
-func TestFullSlotsAreWaitedFor(t *testing.T) {
+// A run for which an engine has no free slot waits until one of the running
+// generations ends.
+func TestWaitIncludesFullSlots(t *testing.T) {
 	s := New(DefaultConfig())
 	s.SetService("llm", Traits{Engine: true})
 	s.Add("i-0", 0, "llm", "", 32)
 	for range 32 {
-		s.FirstByte(epoch, s.start(epoch, s.servers["i-0"], 0, nil))
+		s.FirstByte(epoch, s.startRun(epoch, s.servers["i-0"], 0, nil))
 	}
-	crowd := 32 * s.cfg.RunCost
-	one := s.servers["i-0"]
-	queue, slot := s.wait(one, s.load(one))
-	qt.Check(t, queue+slot, qt.Equals, crowd+firstRunTime/32)
+	runCost := 32 * s.cfg.RunCost
+	srv := s.servers["i-0"]
+	queue, slot := s.queueWait(srv, s.queueAt(srv))
+	qt.Check(t, queue+slot, qt.Equals, runCost+initialRunTime/32)
 }
 
-// Pattern: a server crashes. It refuses connections at once, so its load looks
-// least; one such answer takes it out, but never more than half of a service.
-func TestACrashedServerIsLeftAlone(t *testing.T) {
+// Guards against sending all work to a crashed server, which refuses connections at
+// once and therefore has the least load. One refused connection ejects it, but never
+// more than half of a service's servers are ejected.
+func TestCrashedServerIsEjected(t *testing.T) {
 	s := engines(4)
 	for range 10 {
 		d := s.Place(epoch, prompt(500))
 		s.Ended(epoch, d.Run, health.Unreachable)
 	}
 	qt.Check(t, s.Ejected(), qt.HasLen, 2)
-	// After a pause one request tries it.
+	// After a pause one request probes it.
 	later := epoch.Add(2 * time.Second)
 	probes := 0
 	for range 20 {
 		d := s.Place(later, prompt(500))
-		if d.Run.probe {
+		if d.Run.healthProbe {
 			probes++
 		}
 	}
@@ -236,11 +238,11 @@
 	return s
 }
 
-// Pattern: one server refuses all that it gets, at once, such as one whose
-// slots are held by requests that hang; its load looks least, so that it gets
-// everything while the others idle. Ground: found by the soak (seed 5, 2,459
-// refusals). It is asked again once a second at the most.
-func TestAServerThatRefusesAllDoesNotKeepTheWork(t *testing.T) {
+// Guards against a server that refuses every request at once, such as one whose
+// slots are taken by hanging requests: its load looks least, so that it got all
+// requests while the others idled (2,459 refusals in a soak test with seed 5). It
+// now gets one request per second at most.
+func TestRefusingServerIsPaused(t *testing.T) {
 	s, now, refused := plain(2), epoch, 0
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
@@ -255,14 +257,14 @@
 		s.FirstByte(now, d.Run)
 		s.Ended(now, d.Run, health.Success)
 	}
-	qt.Check(t, refused > 0 && refused < 20, qt.IsTrue, qt.Commentf("%d of 1000 went to the server that refuses", refused))
+	qt.Check(t, refused > 0 && refused < 20, qt.IsTrue, qt.Commentf("%d of 1000 requests went to the refusing server", refused))
 }
 
-// Pattern: a server fails all that it gets for ten seconds, under half receipts,
-// which may run once, and half lookups, which may be repeated. Ground: a probe
-// that fails costs a lookup a repeat and a receipt its answer; so lookups probe,
-// and receipts only where no lookups come.
-func TestProbesAreRequestsThatMayBeRepeated(t *testing.T) {
+// A server fails all requests for ten seconds, while half of the requests may run
+// only once and half are repeatable. A failed probe costs a repeatable request one
+// repetition, but any other request its answer. So only repeatable requests probe,
+// and the others do only where no repeatable ones come.
+func TestProbesAreRepeatableRequests(t *testing.T) {
 	fail := func(repeatable ...bool) (lost int) {
 		s, now := plain(2), epoch
 		for i := range 1000 {
@@ -286,9 +288,9 @@
 	qt.Check(t, fail(false), qt.Not(qt.Equals), 0)
 }
 
-// A server that refused once, as it was full for a moment, is back soon; and
-// when all refuse, requests still go to the one that is due first.
-func TestARefusalIsForgottenWhenTheServerTakesWork(t *testing.T) {
+// A server that refused once because it was briefly full gets requests again soon.
+// If all servers refuse, requests still go to the one whose pause ends first.
+func TestAcceptedRequestResetsRefusals(t *testing.T) {
 	s, now := plain(1), epoch
 	refuse := func() {
 		d := s.Place(now, Request{Service: "app"})
@@ -306,13 +308,13 @@
 	qt.Assert(t, d.Server, qt.Equals, "i-0")
 	s.FirstByte(now, d.Run)
 	s.Ended(now, d.Run, health.Success)
-	// It took work: the next refusal counts as a first one.
+	// It accepted work: the next refusal counts as a first one.
 	refuse()
 	now = now.Add(60 * time.Millisecond)
 	qt.Check(t, s.Place(now, Request{Service: "app"}).Server, qt.Equals, "i-0")
 }
 
-func TestWithoutServersThereIsNoServer(t *testing.T) {
+func TestNoServerIfAllAreAvoided(t *testing.T) {
 	s := engines(1)
 	req := prompt(100)
 	req.Avoid = []string{"i-0"}
@@ -321,8 +323,8 @@
 	qt.Check(t, d.RetryAfter > 0, qt.IsTrue)
 }
 
-// Plain services have few slots: the server with the least work in relation to
-// its slots is next, and its own word counts while it is fresh.
+// Plain services have few slots: the server with the least load in relation to its
+// slots is next, and the load that it reports counts while it is fresh.
 func TestPlainServersShareByLoad(t *testing.T) {
 	s := New(DefaultConfig())
 	s.Add("a", 0, "app", "", 6)
@@ -337,19 +339,19 @@
 	qt.Check(t, s.Place(epoch, Request{Service: "app"}).Server, qt.Not(qt.Equals), d.Server)
 }
 
-func TestTheLengthOfAnswersIsLearnt(t *testing.T) {
-	o := make(outputs)
-	qt.Check(t, o.expect("c", 300), qt.Equals, firstOutput*300)
+func TestOutputLengthIsLearnt(t *testing.T) {
+	o := make(outputShares)
+	qt.Check(t, o.expectedTokens("c", 300), qt.Equals, initialOutputShare*300)
 	for range 200 {
-		o.learn("c", 300, 30)
+		o.observe("c", 300, 30)
 	}
-	got := o.expect("c", 300)
+	got := o.expectedTokens("c", 300)
 	qt.Check(t, got > 29 && got < 33, qt.IsTrue, qt.Commentf("%v", got))
 }
 
-// The counts of a server are the sums over the runs that have not ended, for
-// any order of sends, first events, ends and changes of servers.
-func TestCountsAreTheSumsOfTheRuns(t *testing.T) {
+// The counts of a server are the sums over the runs that have not ended, for any
+// order of sends, first events, ends and changes of servers.
+func TestServerCountsAreSumsOfRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := engines(3), epoch
 		var runs []*Run
@@ -372,28 +374,28 @@
 				}
 			}
 		}
-		var unread float64
-		held := 0
-		for _, one := range s.servers {
-			unread += one.unread
-			held += one.running + one.awaiting
+		var pendingTokens float64
+		inFlight := 0
+		for _, srv := range s.servers {
+			pendingTokens += srv.pendingTokens
+			inFlight += srv.running + srv.awaiting
 		}
-		if held != len(runs) {
-			t.Fatalf("%d held, %d runs", held, len(runs))
+		if inFlight != len(runs) {
+			t.Fatalf("%d runs counted, %d in flight", inFlight, len(runs))
 		}
 		for _, r := range runs {
-			if !r.first {
-				unread -= r.unread
+			if !r.started {
+				pendingTokens -= r.prefillTokens
 			}
 		}
-		if unread > 1e-6 || unread < -1e-6 {
-			t.Fatalf("%v tokens of no run", unread)
+		if pendingTokens > 1e-6 || pendingTokens < -1e-6 {
+			t.Fatalf("%v pending tokens belong to no run", pendingTokens)
 		}
 	})
 }
 
-// Teams' use is told with the digests, so that a share holds over the fleet.
-func TestSharesHoldOverTheFleet(t *testing.T) {
+// Digests carry the usage of teams, so that shares apply to the whole fleet.
+func TestSharesApplyToWholeFleet(t *testing.T) {
 	a, b := engines(1), engines(1)
 	a.SetCapacity(10000)
 	b.SetCapacity(10000)
--- a/coordination/admission/backoff.go
+++ b/coordination/admission/backoff.go
@@ -8,103 +8,108 @@
 	"goldcrestport/coordination/backoff"
 )
 
-// held is what keeps servers from a request that has none.
-type held struct {
-	// first is the time until the first of them may get a request; 0: unknown.
-	first time.Duration
-	// backingOff counts the servers that want no requests.
+// exclusions summarises why servers were excluded for a request.
+type exclusions struct {
+	// firstWait is the time until the first excluded server may get a request; 0:
+	// unknown.
+	firstWait time.Duration
+	// backingOff counts the servers that requested a back-off.
 	backingOff int
-	// cold tells that the first of them is cold, asked that it wants no requests.
-	cold, asked bool
-	// due is when the first of those may be asked again at which the request failed;
-	// 0: none.
-	due time.Duration
+	// firstIsCold and firstBacksOff say which of the two excludes the server of
+	// firstWait: its rate limit as a cold server, or a back-off that it requested.
+	firstIsCold, firstBacksOff bool
+	// avoidedWait is the time until a server at which the request failed may get it
+	// again; 0: there is none.
+	avoidedWait time.Duration
 }
 
-func (h *held) backsOff(wait time.Duration) {
-	h.backingOff++
-	if h.first == 0 || wait < h.first {
-		h.first, h.cold, h.asked = wait, false, true
+func (e *exclusions) addBackoff(wait time.Duration) {
+	e.backingOff++
+	if e.firstWait == 0 || wait < e.firstWait {
+		e.firstWait, e.firstIsCold, e.firstBacksOff = wait, false, true
 	}
 }
 
-func (h *held) isCold(wait time.Duration) {
-	if h.first == 0 || wait < h.first {
-		h.first, h.cold, h.asked = wait, true, false
+func (e *exclusions) addCold(wait time.Duration) {
+	if e.firstWait == 0 || wait < e.firstWait {
+		e.firstWait, e.firstIsCold, e.firstBacksOff = wait, true, false
 	}
 }
 
-func (h *held) avoided(wait time.Duration) {
-	if h.due == 0 || wait < h.due {
-		h.due = wait
+func (e *exclusions) addAvoided(wait time.Duration) {
+	if e.avoidedWait == 0 || wait < e.avoidedWait {
+		e.avoidedWait = wait
 	}
 }
 
-// returnSpread is the time over which those return that were told the same moment, so
-// that they do not come all at once.
-const returnSpread = 250 * time.Millisecond
+// retrySpread is the interval over which the retry times of callers are spread that
+// would otherwise all come back at the same moment.
+const retrySpread = 250 * time.Millisecond
 
-// placeNowhere refuses a request that no server may get, and tells when the first one
-// may.
-func (s *State) placeNowhere(h held) Decision {
+// refuseUnplaceable refuses a request that no server may get, and says when the
+// first server may get it.
+func (s *State) refuseUnplaceable(e exclusions) Decision {
 	switch {
-	case h.first == 0, h.asked && h.due > 0 && h.due < h.first:
+	case e.firstWait == 0, e.firstBacksOff && e.avoidedWait > 0 && e.avoidedWait < e.firstWait:
 		return Decision{Verdict: NoServer, Reason: ReasonNoServer, RetryAfter: s.cfg.ReturnLeast}
-	case h.cold:
-		return Decision{Verdict: Refuse, Reason: ReasonCold, Cold: true, RetryAfter: min(max(h.first, s.cfg.ReturnLeast), s.cfg.ReturnMost)}
+	case e.firstIsCold:
+		return Decision{Verdict: Refuse, Reason: ReasonCold, Cold: true, RetryAfter: min(max(e.firstWait, s.cfg.ReturnLeast), s.cfg.RetryAfterMax)}
 	default:
-		return Decision{Verdict: Refuse, Reason: ReasonBackoff, RetryAfter: h.first + s.spread()}
+		return Decision{Verdict: Refuse, Reason: ReasonBackoff, RetryAfter: e.firstWait + s.nextSpread()}
 	}
 }
 
-// spread returns parts of returnSpread that lie evenly, however many are asked for.
-func (s *State) spread() time.Duration {
-	s.refusals++
-	_, part := math.Modf(float64(s.refusals) * (math.Phi - 1))
-	return time.Duration(part * float64(returnSpread))
+// nextSpread returns an offset within retrySpread. Successive offsets are evenly
+// distributed over it, however many there are.
+func (s *State) nextSpread() time.Duration {
+	s.spreadCount++
+	_, fraction := math.Modf(float64(s.spreadCount) * (math.Phi - 1))
+	return time.Duration(fraction * float64(retrySpread))
 }
 
-// BackOff notes that the run's server turned it away and wants no requests of this
-// router for the time. It reports whether the server began to ask for that.
-func (s *State) BackOff(now time.Time, r *Run, after time.Duration) (began bool) {
-	r.trial = false
-	one := s.backoffOf(r.server)
-	if !s.isIn(r.server) {
-		s.parted[r.server.identity] = one
+// BackOff records that the server of the run refused it and wants no
+// requests of this router for the given time. It reports whether this starts a
+// back-off.
+func (s *State) BackOff(now time.Time, r *Run, after time.Duration) (started bool) {
+	r.backoffProbe = false
+	b := s.backoffOf(r.server)
+	if !s.isKnown(r.server) {
+		s.departedBackoffs[r.server.identity] = b
 	}
-	return one.Asked(now, after, s.cfg.Backoff)
+	return b.Asked(now, after, s.cfg.Backoff)
 }
 
-// MaySend reports whether the run's server still wants requests.
+// MaySend reports whether the server of the run still accepts requests.
 func (s *State) MaySend(now time.Time, r *Run) bool { return s.backoffOf(r.server).Accepts(now) }
 
-// Backoff returns what the run's server asked for.
+// Backoff returns the back-off state of the run's server.
 func (s *State) Backoff(r *Run) *backoff.Server { return s.backoffOf(r.server) }
 
-// isIn reports whether the server, or one that came back as the same, is known.
-func (s *State) isIn(one *server) bool {
-	now := s.servers[one.id]
-	return now != nil && now.identity == one.identity
+// isKnown reports whether the server is known, also if it was removed and added
+// again as the same incarnation.
+func (s *State) isKnown(srv *server) bool {
+	current := s.servers[srv.id]
+	return current != nil && current.identity == srv.identity
 }
 
-// backoffOf returns what the server asked for. A run's server may have been taken out
-// since it was sent, and may be back.
-func (s *State) backoffOf(one *server) *backoff.Server {
-	if s.isIn(one) {
-		return s.servers[one.id].backoff
+// backoffOf returns the back-off state of the server. A run's server may have been
+// removed, and added again, since the request was sent.
+func (s *State) backoffOf(srv *server) *backoff.Server {
+	if s.isKnown(srv) {
+		return s.servers[srv.id].backoff
 	}
-	if kept := s.parted[one.identity]; kept != nil {
+	if kept := s.departedBackoffs[srv.identity]; kept != nil {
 		return kept
 	}
-	return one.backoff
+	return srv.backoff
 }
 
-// BackoffWait returns the time until the first server of the service wants requests; 0
-// while one does.
+// BackoffWait returns the time until the first back-off of a server of the service
+// ends; 0 if a server accepts requests now.
 func (s *State) BackoffWait(now time.Time, service string) time.Duration {
 	var first time.Duration
-	for _, one := range s.pool(service).servers {
-		wait := one.backoff.Wait(now)
+	for _, srv := range s.pool(service).servers {
+		wait := srv.backoff.Wait(now)
 		if wait == 0 {
 			return 0
 		}
@@ -115,46 +120,47 @@
 	return first
 }
 
-// HasOther reports whether the service has a server beside those named that wants
+// HasOther reports whether a server of the service other than those named accepts
 // requests.
-func (s *State) HasOther(now time.Time, service string, but []string) bool {
-	return slices.ContainsFunc(s.pool(service).servers, func(one *server) bool {
-		return one.backoff.Wait(now) == 0 && !slices.Contains(but, one.id)
+func (s *State) HasOther(now time.Time, service string, except []string) bool {
+	return slices.ContainsFunc(s.pool(service).servers, func(srv *server) bool {
+		return srv.backoff.Wait(now) == 0 && !slices.Contains(except, srv.id)
 	})
 }
 
-// BackingOff returns the number of servers that want no requests now.
+// BackingOff returns the number of servers whose back-off lasts.
 func (s *State) BackingOff(now time.Time) int {
 	n := 0
-	for _, one := range s.servers {
-		if !one.backoff.Accepts(now) {
+	for _, srv := range s.servers {
+		if !srv.backoff.Accepts(now) {
 			n++
 		}
 	}
 	return n
 }
 
-// part keeps what a server that is taken out asked for.
-func (s *State) part(one *server) {
-	if one.backoff.Asking() {
-		s.parted[one.identity] = one.backoff
+// keepBackoff keeps the back-off of a server that is removed.
+func (s *State) keepBackoff(srv *server) {
+	if srv.backoff.Asking() {
+		s.departedBackoffs[srv.identity] = srv.backoff
 	}
 }
 
-// rejoin gives a server what it asked for before it was taken out.
-func (s *State) rejoin(one *server) {
-	one.backoff = s.parted[one.identity]
-	if one.backoff == nil {
-		one.backoff = &backoff.Server{}
+// restoreBackoff gives a server the back-off that it had requested before it was
+// removed.
+func (s *State) restoreBackoff(srv *server) {
+	srv.backoff = s.departedBackoffs[srv.identity]
+	if srv.backoff == nil {
+		srv.backoff = &backoff.Server{}
 	}
-	delete(s.parted, one.identity)
+	delete(s.departedBackoffs, srv.identity)
 }
 
-// forgetParted forgets the servers that are out and want nothing any more.
-func (s *State) forgetParted(now time.Time) {
-	for identity, one := range s.parted {
-		if one.Accepts(now) {
-			delete(s.parted, identity)
+// dropExpiredBackoffs drops the kept back-offs that have ended.
+func (s *State) dropExpiredBackoffs(now time.Time) {
+	for identity, b := range s.departedBackoffs {
+		if b.Accepts(now) {
+			delete(s.departedBackoffs, identity)
 		}
 	}
 }
--- a/coordination/admission/backoff_test.go
+++ b/coordination/admission/backoff_test.go
@@ -10,7 +10,7 @@
 	"goldcrestport/coordination/backoff"
 )
 
-// plainFleet returns servers of a plain service, none of which does anything.
+// plainFleet returns idle servers of a plain service.
 func plainFleet(n int) *State {
 	s := New(DefaultConfig())
 	for i := range n {
@@ -19,29 +19,30 @@
 	return s
 }
 
-// Pattern: a third of the servers turn everything away and ask for seconds without
-// requests, again and again. They look idle beside the others, which must not draw the
-// work back to them.
-func TestIdleServersThatAskForNoRequestsGetNone(t *testing.T) {
+// Guards against servers in back-off getting requests: a third of the servers refuse
+// everything and repeatedly request seconds of back-off, and look idle beside the
+// others.
+func TestServersInBackoffGetNoRequests(t *testing.T) {
 	s, now := plainFleet(9), epoch
-	end := map[string]time.Time{}
+	backoffEnd := map[string]time.Time{}
 	for i := range 2000 {
 		now = now.Add(5 * time.Millisecond)
 		d := s.Place(now, Request{Service: "app"})
 		qt.Assert(t, d.Verdict, qt.Equals, Send)
 		if d.Server <= "i-2" {
-			qt.Assert(t, now.Before(end[d.Server]), qt.IsFalse, qt.Commentf("request %d in the time of %s", i, d.Server))
+			qt.Assert(t, now.Before(backoffEnd[d.Server]), qt.IsFalse, qt.Commentf("request %d during the back-off of %s", i, d.Server))
 			s.BackOff(now, d.Run, 3*time.Second)
-			end[d.Server] = now.Add(3 * time.Second)
+			backoffEnd[d.Server] = now.Add(3 * time.Second)
 			s.Ended(now, d.Run, 0)
 		}
 	}
-	qt.Check(t, end, qt.HasLen, 3)
+	qt.Check(t, backoffEnd, qt.HasLen, 3)
 }
 
-// All servers want no requests: the refusal tells when the first one takes some, and
-// those who are told the same moment come back spread over a quarter of a second.
-func TestARefusalTellsWhenTheFirstServerTakesRequests(t *testing.T) {
+// If all servers are in back-off, a refusal gives the time at which the first
+// back-off ends, and the retry times of the callers are spread over a quarter of a
+// second.
+func TestRefusalGivesEndOfFirstBackoff(t *testing.T) {
 	s, now := plainFleet(3), epoch
 	var req Request
 	req.Service = "app"
@@ -55,15 +56,15 @@
 	quarters := map[time.Duration]int{}
 	for i := range 400 {
 		if i%2 == 0 {
-			// Also one that those servers turned away themselves.
+			// Includes requests that those servers have not refused themselves.
 			req.Avoid = nil
 		}
 		d := s.Place(now, req)
 		qt.Assert(t, d.Verdict, qt.Equals, Refuse)
 		qt.Assert(t, d.Reason, qt.Equals, ReasonBackoff)
 		qt.Assert(t, d.BackingOff, qt.Equals, 3)
-		qt.Assert(t, d.RetryAfter >= 3*time.Second && d.RetryAfter < 3*time.Second+returnSpread, qt.IsTrue)
-		quarters[(d.RetryAfter-3*time.Second)/(returnSpread/4)]++
+		qt.Assert(t, d.RetryAfter >= 3*time.Second && d.RetryAfter < 3*time.Second+retrySpread, qt.IsTrue)
+		quarters[(d.RetryAfter-3*time.Second)/(retrySpread/4)]++
 	}
 	for _, n := range quarters {
 		qt.Check(t, n > 90 && n < 110, qt.IsTrue, qt.Commentf("%v", quarters))
@@ -72,9 +73,9 @@
 	qt.Check(t, s.Place(now.Add(3*time.Second), Request{Service: "app"}).Server, qt.Equals, "i-0")
 }
 
-// One server wants none for long, and another one only turned this request away: it is
-// to come back when that one may be asked.
-func TestARefusalGoesByTheServerThatIsDueFirst(t *testing.T) {
+// One server requested a long back-off, and another one only refused this request:
+// the caller is to come back when the latter may be tried again.
+func TestRetryTimeIsThatOfFirstAvailableServer(t *testing.T) {
 	s, now := plainFleet(2), epoch
 	first := s.Place(now, Request{Service: "app"})
 	s.BackOff(now, first.Run, time.Minute)
@@ -86,33 +87,33 @@
 	qt.Check(t, s.HasOther(now, "app", []string{first.Server}), qt.IsTrue)
 }
 
-// An answer that begins in the time, and one that tries the server while another is
-// turned away, end nothing; the one that is taken does.
-func TestOnlyATakenTrialEndsTheTime(t *testing.T) {
+// Neither an answer that starts during the back-off nor a probe request during which
+// another request is refused ends the back-off. An accepted probe request ends it.
+func TestOnlyAcceptedProbeEndsBackoff(t *testing.T) {
 	s, now := plainFleet(1), epoch
 	req := Request{Service: "app"}
-	before, turned, also := s.Place(now, req), s.Place(now, req), s.Place(now, req)
-	s.BackOff(now, turned.Run, time.Second)
+	before, refused, alsoRefused := s.Place(now, req), s.Place(now, req), s.Place(now, req)
+	s.BackOff(now, refused.Run, time.Second)
 	s.FirstByte(now.Add(time.Millisecond), before.Run)
 	qt.Check(t, s.Place(now.Add(900*time.Millisecond), req).Verdict, qt.Equals, Refuse)
 	now = now.Add(time.Second)
-	trial := s.Place(now, req)
-	qt.Assert(t, trial.Verdict, qt.Equals, Send)
-	qt.Check(t, trial.SinceBackoff, qt.Equals, time.Second)
+	probe := s.Place(now, req)
+	qt.Assert(t, probe.Verdict, qt.Equals, Send)
+	qt.Check(t, probe.SinceBackoff, qt.Equals, time.Second)
 	qt.Check(t, s.Place(now, req).Verdict, qt.Equals, Refuse)
-	s.BackOff(now, also.Run, time.Second)
-	qt.Check(t, s.MaySend(now, trial.Run), qt.IsFalse)
-	qt.Check(t, s.FirstByte(now.Add(time.Millisecond), trial.Run), qt.IsFalse)
+	s.BackOff(now, alsoRefused.Run, time.Second)
+	qt.Check(t, s.MaySend(now, probe.Run), qt.IsFalse)
+	qt.Check(t, s.FirstByte(now.Add(time.Millisecond), probe.Run), qt.IsFalse)
 	qt.Check(t, s.Place(now.Add(900*time.Millisecond), req).Verdict, qt.Equals, Refuse)
 	now = now.Add(time.Second)
-	trial = s.Place(now, req)
-	qt.Check(t, s.FirstByte(now.Add(time.Millisecond), trial.Run), qt.IsTrue)
+	probe = s.Place(now, req)
+	qt.Check(t, s.FirstByte(now.Add(time.Millisecond), probe.Run), qt.IsTrue)
 	qt.Check(t, s.Place(now.Add(time.Millisecond), req).SinceBackoff, qt.Equals, -time.Millisecond)
 }
 
-// A server's entry lapses and comes back, and it wants no more requests than before; a
-// later process under its id never asked.
-func TestWhatAServerAskedForOutlivesItsEntry(t *testing.T) {
+// A server whose entry expires and is added again is still in back-off. A later
+// process with the same id is not.
+func TestBackoffOutlivesEntry(t *testing.T) {
 	s, now := New(DefaultConfig()), epoch
 	s.Add("i-0", 100, "app", "", 4)
 	req := Request{Service: "app"}
@@ -124,21 +125,21 @@
 	qt.Check(t, s.Place(now.Add(time.Second), req).Verdict, qt.Equals, Refuse)
 	s.Add("i-0", 200, "app", "", 4)
 	qt.Check(t, s.Place(now.Add(time.Second), req).Verdict, qt.Equals, Send)
-	qt.Check(t, s.parted, qt.HasLen, 1)
+	qt.Check(t, s.departedBackoffs, qt.HasLen, 1)
 	s.Tick(now.Add(2 * time.Second))
-	qt.Check(t, s.parted, qt.HasLen, 0)
+	qt.Check(t, s.departedBackoffs, qt.HasLen, 0)
 }
 
-// A server's entry lapses and comes back while a request is there, which is turned away:
-// the time counts for the server as it is known now.
-func TestWhatAServerAsksForWhileItsEntryIsAwayCounts(t *testing.T) {
+// A server refuses a request while its entry is missing, or after it was added
+// again: the back-off applies to the server as it is known then.
+func TestBackoffRequestedWhileEntryIsMissing(t *testing.T) {
 	for name, steps := range map[string]func(s *State, answer func()){
-		"before it is back": func(s *State, answer func()) {
+		"before it is added again": func(s *State, answer func()) {
 			s.Remove("i-0")
 			answer()
 			s.Add("i-0", 100, "app", "", 4)
 		},
-		"after it is back": func(s *State, answer func()) {
+		"after it was added again": func(s *State, answer func()) {
 			s.Remove("i-0")
 			s.Add("i-0", 100, "app", "", 4)
 			answer()
@@ -155,12 +156,12 @@
 	}
 }
 
-// What a decision costs beside 180 servers of which 60 want no requests.
-func BenchmarkPlaceBesideServersThatBackOff(b *testing.B) {
-	for _, asking := range []int{0, 60} {
-		b.Run(fmt.Sprintf("asking=%d", asking), func(b *testing.B) {
+// Measures a decision with 180 servers of which 60 are in back-off.
+func BenchmarkPlaceWithServersInBackoff(b *testing.B) {
+	for _, backingOff := range []int{0, 60} {
+		b.Run(fmt.Sprintf("backoff=%d", backingOff), func(b *testing.B) {
 			s, now := coldFleet(180, 0)
-			for i := range asking {
+			for i := range backingOff {
 				s.servers[fmt.Sprintf("i-%d", 3*i)].backoff.Asked(now, 1000*time.Hour, backoff.Config{Longest: 1000 * time.Hour, TrialTime: time.Second})
 			}
 			benchmarkPlace(b, s, now)
--- a/coordination/admission/cold_test.go
+++ b/coordination/admission/cold_test.go
@@ -10,7 +10,7 @@
 	"goldcrestport/coordination/warmup"
 )
 
-// coldFleet is a state before servers of which some are cold.
+// coldFleet returns a state with servers of which some are cold.
 func coldFleet(all, cold int) (*State, time.Time) {
 	now := time.Unix(1000, 0)
 	cfg := warmup.DefaultConfig()
@@ -32,9 +32,9 @@
 	return s, now
 }
 
-// New servers join cold beside busy ones and look idle: what is beyond their rate
-// goes to the others.
-func TestWorkBeyondAColdServersRateGoesToOthers(t *testing.T) {
+// New servers start cold and look idle beside busy ones: requests beyond their rate
+// go to the others.
+func TestRequestsBeyondColdRateGoToOthers(t *testing.T) {
 	s, now := coldFleet(3, 1)
 	sent := map[string]int{}
 	for range 60 {
@@ -47,9 +47,9 @@
 	qt.Check(t, sent["i-0"] >= 15, qt.IsTrue, qt.Commentf("%v", sent))
 }
 
-// All servers of a service are cold: what is beyond their rates is refused at once,
-// with the time at which one of them may get more.
-func TestWhenAllAreColdTheRestIsRefusedWithTheTime(t *testing.T) {
+// If all servers of a service are cold, requests beyond their rates are refused at
+// once, with the time at which one of the servers may get more.
+func TestRequestsBeyondAllColdRatesAreRefused(t *testing.T) {
 	s, now := coldFleet(2, 2)
 	for range 48 {
 		qt.Assert(t, s.Place(now, Request{Service: "llm", Prompt: 10, Output: 10}).Verdict, qt.Equals, Send)
@@ -62,8 +62,8 @@
 	qt.Check(t, d.Verdict, qt.Equals, Send)
 }
 
-// What a decision costs beside 180 servers of which 60 are cold.
-func BenchmarkPlaceBesideColdServers(b *testing.B) {
+// Measures a decision with 180 servers of which 60 are cold.
+func BenchmarkPlaceWithColdServers(b *testing.B) {
 	for _, cold := range []int{0, 60} {
 		b.Run(fmt.Sprintf("cold=%d", cold), func(b *testing.B) {
 			s, now := coldFleet(180, cold)
@@ -72,7 +72,7 @@
 	}
 }
 
-// benchmarkPlace measures decisions, each of which ends at once.
+// benchmarkPlace measures decisions whose runs end at once.
 func benchmarkPlace(b *testing.B, s *State, now time.Time) {
 	req := Request{Service: "llm", Prompt: 1000, Output: 10, Shared: []Part{{ID: 7, Tokens: 500}}}
 	b.ReportAllocs()
--- a/coordination/admission/estimate.go
+++ b/coordination/admission/estimate.go
@@ -6,112 +6,114 @@
 	"time"
 )
 
-// loadTime is how long a server's own word on its load counts. It was true
-// when an answer left the server; a request of a plain service takes some tens
-// of milliseconds.
-const loadTime = 100 * time.Millisecond
-
-// busy is the server's load in relation to its slots.
-func (s *State) busy(now time.Time, one *server) float64 {
-	own := float64(one.running + one.awaiting)
-	if now.Sub(one.loadAt) < loadTime {
-		own = max(own, float64(one.load.Running+one.load.Waiting))
+// reportedLoadTTL is how long the load that a server reported is used. The report
+// was true when an answer left the server, and a request of a plain service takes
+// some tens of milliseconds.
+const reportedLoadTTL = 100 * time.Millisecond
+
+// utilisation returns the load of the server in relation to its slots.
+func (s *State) utilisation(now time.Time, srv *server) float64 {
+	load := float64(srv.running + srv.awaiting)
+	if now.Sub(srv.loadAt) < reportedLoadTTL {
+		load = max(load, float64(srv.load.Running+srv.load.Waiting))
 	}
-	return own / float64(one.slots)
+	return load / float64(srv.slots)
 }
 
-// candidate is a server with what the request would meet there.
+// candidate is a server with the estimates for the request there.
 type candidate struct {
 	server *server
 	rank   int
-	// unread are the tokens that the engine would have to read for it.
-	unread float64
-	// wait for the first token before its own reading.
+	// prefillTokens is the number of prompt tokens that the engine would have to
+	// prefill.
+	prefillTokens float64
+	// wait is the wait for the first token before the request's own prefill.
 	wait time.Duration
-	// reading is how long its own prompt takes there.
-	reading time.Duration
-	// estimate is how long its first token takes at the presumed rate; 0 when
-	// it would wait for a slot, too.
+	// prefill is the time of the request's own prefill there.
+	prefill time.Duration
+	// estimate is the time to its first token at the configured prefill rate; 0 if
+	// it would also wait for a slot.
 	estimate time.Duration
-	// price is the wait plus what reading shared parts again costs others.
-	price time.Duration
-	// queue is what the server has to do before, over all routers.
-	queue load
-	// source is a server from whose memory this one may take shared parts; nil
+	// cost is the wait and the prefill, plus what the repeated prefill of shared
+	// prefixes costs other requests.
+	cost time.Duration
+	// queue is the work that the server has before this request, over all routers.
+	queue queueLoad
+	// source is a server from whose cache this one may fetch shared prefixes; nil
 	// for none.
 	source *server
 }
 
-// load is the work at a server as this router knows it: prompt tokens that are
-// not read yet, and generations that run or wait.
-type load struct {
-	unread float64
-	runs   float64
+// queueLoad is the work at a server as this router knows it: prompt tokens that wait
+// for prefill, and generations that run or wait.
+type queueLoad struct {
+	pendingTokens float64
+	runs          float64
 }
 
-// candidates returns the first servers in the order of the request's last
-// shared part. Without shared parts every server is a candidate.
+// candidates returns the first servers by rank for the request's last shared prefix.
+// Without shared prefixes every server is a candidate.
 func (s *State) candidates(now time.Time, req Request, usable []*server) []candidate {
 	order := usable
 	var source *server
 	if n := len(req.Shared); n > 0 {
 		last := req.Shared[n-1].ID
-		source = s.source(now, req.Service, last, usable)
+		source = s.prefixSource(now, req.Service, last, usable)
 		count := s.cfg.Candidates
 		if source != nil {
-			count = max(count, s.cfg.Fetchers)
+			count = max(count, s.cfg.FetchCandidates)
 		}
-		order = first(usable, last, count)
+		order = topRanked(usable, last, count)
 	}
 	out := make([]candidate, len(order))
-	for i, one := range order {
-		out[i] = s.assess(now, req, one, i, source)
+	for i, srv := range order {
+		out[i] = s.assess(now, req, srv, i, source)
 	}
 	return out
 }
 
-func byPrice(a, b candidate) int { return cmp.Compare(a.price, b.price) }
+func byCost(a, b candidate) int { return cmp.Compare(a.cost, b.cost) }
 
-// admissible is a candidate that may take a request, with its limit.
+// admissible is a candidate that may take a request, with the wait limit there.
 type admissible struct {
 	candidate
 	limit time.Duration
 }
 
-// elsewhere looks for a server outside the candidates of a request that would
-// be refused there though its team is within its share: reading its shared
-// parts again costs less than turning it away.
-func (s *State) elsewhere(now time.Time, req Request, usable []*server, standing standing) (admissible, bool) {
+// widerCandidate looks for a server beyond the candidates of a request that would be
+// refused there although its team is within its share: repeating the prefill of its
+// shared prefixes costs less than refusing it.
+func (s *State) widerCandidate(now time.Time, req Request, usable []*server, standing standing) (admissible, bool) {
 	if len(req.Shared) == 0 {
 		return admissible{}, false
 	}
 	last := req.Shared[len(req.Shared)-1].ID
-	source := s.source(now, req.Service, last, usable)
+	source := s.prefixSource(now, req.Service, last, usable)
 	var best admissible
-	for i, one := range first(usable, last, s.cfg.Fetchers) {
-		c := s.assess(now, req, one, i, source)
-		limit := s.limit(req, c, standing)
-		if c.wait <= limit && (best.server == nil || c.price < best.price) {
+	for i, srv := range topRanked(usable, last, s.cfg.FetchCandidates) {
+		c := s.assess(now, req, srv, i, source)
+		limit := s.admissionLimit(req, c, standing)
+		if c.wait <= limit && (best.server == nil || c.cost < best.cost) {
 			best = admissible{c, limit}
 		}
 	}
 	return best, best.server != nil
 }
 
-// first returns the first n servers in the order of the part.
-func first(servers []*server, part uint64, n int) []*server {
+// topRanked returns the first n servers by rank for the prefix.
+func topRanked(servers []*server, prefix uint64, n int) []*server {
 	type ranked struct {
 		server *server
 		rank   uint64
 	}
 	best := make([]ranked, 0, n+1)
-	for _, one := range servers {
-		rank := one.rank(part)
+	for _, srv := range servers {
+		rank := srv.rank(prefix)
 		if len(best) == n && rank <= best[n-1].rank {
 			continue
 		}
 		at, _ := slices.BinarySearchFunc(best, rank, func(r ranked, rank uint64) int { return cmp.Compare(rank, r.rank) })
-		best = slices.Insert(best, at, ranked{one, rank})
+		best = slices.Insert(best, at, ranked{srv, rank})
 		best = best[:min(len(best), n)]
 	}
 	out := make([]*server, len(best))
@@ -121,68 +123,68 @@
 	return out
 }
 
-// assess estimates what the request meets at the server. Source is a server
-// from whose memory it may take shared parts, or nil.
-func (s *State) assess(now time.Time, req Request, one *server, rank int, source *server) candidate {
-	c := candidate{server: one, rank: rank}
-	if one != source {
+// assess estimates what the request meets at the server. source is a server from
+// whose cache it may fetch shared prefixes, or nil.
+func (s *State) assess(now time.Time, req Request, srv *server, rank int, source *server) candidate {
+	c := candidate{server: srv, rank: rank}
+	if srv != source {
 		c.source = source
 	}
-	parts := s.sharedParts(now, req, one, rank, c.source)
-	c.unread = max(float64(req.Prompt)-parts.held-parts.fetched, 0)
-	c.queue = s.load(one)
-	queue, slot := s.wait(one, c.queue)
-	own := s.reading(c.unread) + s.fetching(req.Service, parts.fetched)
+	shared := s.splitPrefixes(now, req, srv, rank, c.source)
+	c.prefillTokens = max(float64(req.Prompt)-shared.cached-shared.fetched, 0)
+	c.queue = s.queueAt(srv)
+	queue, slot := s.queueWait(srv, c.queue)
+	prefill := s.prefillTime(c.prefillTokens) + s.fetchTime(req.Service, shared.fetched)
 	if slot == 0 {
-		c.estimate = queue + own
+		c.estimate = queue + prefill
 	}
-	slower := one.pace.factor(now)
-	c.wait = scaled(queue, slower) + slot
-	c.reading = scaled(own, slower)
-	c.price = c.wait + c.reading + s.reading(parts.again*s.cfg.SpillWeight+parts.fetched*s.cfg.FetchWeight)
+	factor := srv.slowdown.factor(now)
+	c.wait = scaled(queue, factor) + slot
+	c.prefill = scaled(prefill, factor)
+	c.cost = c.wait + c.prefill + s.prefillTime(shared.repeated*s.cfg.SpillWeight+shared.fetched*s.cfg.FetchWeight)
 	return c
 }
 
-func scaled(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
-
-// load is the work at the server. Routers that told nothing lately are presumed
-// to have sent as much as the others do on average.
-func (s *State) load(one *server) load {
-	total := s.others[one.number]
-	total.Unread += one.unread
-	total.Runs += one.running + one.awaiting
-	told := 1 + len(s.peers)
-	scale := max(float64(s.routers)/float64(told), 1)
-	return load{unread: total.Unread * scale, runs: float64(total.Runs) * scale}
+func scaled(d time.Duration, factor float64) time.Duration { return time.Duration(float64(d) * factor) }
+
+// queueAt returns the work at the server. Routers without a recent digest are
+// assumed to have sent as much as the others on average.
+func (s *State) queueAt(srv *server) queueLoad {
+	total := s.peersInFlight[srv.number]
+	total.Unread += srv.pendingTokens
+	total.Runs += srv.running + srv.awaiting
+	reporting := 1 + len(s.peers)
+	scale := max(float64(s.routers)/float64(reporting), 1)
+	return queueLoad{pendingTokens: total.Unread * scale, runs: float64(total.Runs) * scale}
 }
 
-// wait estimates the time to the first token of a request that arrives now:
-// queue is from the prompts that are not read yet and the generations that run,
-// at the presumed rate, and slot is the time until a slot is free.
-func (s *State) wait(one *server, l load) (queue, slot time.Duration) {
-	crowd := time.Duration(l.runs * float64(s.cfg.RunCost))
-	return s.reading(l.unread) + crowd, s.slotWait(one, l.runs)
+// queueWait estimates the time to the first token of a request that arrives now:
+// queue is the time for the prompts that wait for prefill and the running
+// generations, at the configured rates, and slot is the time until a slot is free.
+func (s *State) queueWait(srv *server, l queueLoad) (queue, slot time.Duration) {
+	runCost := time.Duration(l.runs * float64(s.cfg.RunCost))
+	return s.prefillTime(l.pendingTokens) + runCost, s.slotWait(srv, l.runs)
 }
 
-// slotWait is the time until a slot is free for one more run: runs that wait
-// for one are admitted in turn, and one ends each runTime / slots.
-func (s *State) slotWait(one *server, runs float64) time.Duration {
-	excess := runs + 1 - float64(one.slots)
+// slotWait returns the time until a slot is free for one more run: waiting runs are
+// admitted in turn, and one run ends every runTime / slots.
+func (s *State) slotWait(srv *server, runs float64) time.Duration {
+	excess := runs + 1 - float64(srv.slots)
 	if excess <= 0 {
 		return 0
 	}
-	return time.Duration(excess * float64(s.pool(one.service).runTime) / float64(one.slots))
+	return time.Duration(excess * float64(s.pool(srv.service).runTime) / float64(srv.slots))
 }
 
-// reading is the time in which an engine reads the tokens.
-func (s *State) reading(tokens float64) time.Duration {
-	return time.Duration(tokens / s.cfg.ReadRate * float64(time.Millisecond))
+// prefillTime returns the time in which an engine prefills the tokens.
+func (s *State) prefillTime(tokens float64) time.Duration {
+	return time.Duration(tokens / s.cfg.PrefillRate * float64(time.Millisecond))
 }
 
-// tokens is what the request takes of the capacity that teams share.
-func (s *State) tokens(r Request) float64 {
-	return float64(r.Prompt) + outputWeight*s.outputs.expect(r.Class, r.Output)
+// demand returns the part of the shared capacity that the request uses, in tokens.
+func (s *State) demand(r Request) float64 {
+	return float64(r.Prompt) + outputWeight*s.outputs.expectedTokens(r.Class, r.Output)
 }
 
-// outputWeight is what a generated token counts against one that is read.
+// outputWeight is the weight of a generated token in relation to a prompt token.
 const outputWeight = 2
--- a/coordination/admission/holdings.go
+++ b/coordination/admission/holdings.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// Holding says that a server read a shared part.
+// Holding says that a server has prefilled a shared prefix.
 //
-// The pattern that it answers: each router sees a small part of the requests,
-// so that it seldom knows from its own which server holds a document, and has
-// it read once more. So routers announce holdings to each other, each once in
-// half of the time for which it is believed.
+// Each router sees a small part of the requests. From those alone it seldom knows
+// which server has a document cached, and would have its prefill repeated elsewhere.
+// So routers announce cached prefixes to each other, each prefix once in half of
+// PrefixTTL.
 type Holding struct {
 	Server ServerID
 	Part   uint64
 }
 
-// Bounds of announcements.
+// Limits of announcements.
 const (
-	// maxHoldings goes into one digest, 768 bytes of a datagram.
-	maxHoldings = 64
-	// maxUnannounced waits for the next digests; more is left out, which costs a
-	// reading at the most.
-	maxUnannounced = 1024
+	// maxAnnouncements is the maximum number of announcements in a digest, 768 bytes
+	// of a datagram.
+	maxAnnouncements = 64
+	// maxPendingAnnouncements is the maximum number that waits for the next digests.
+	// Further ones are dropped, each of which costs at most one repeated prefill.
+	maxPendingAnnouncements = 1024
 )
 
-// use notes that the server reads the parts, and which of them the next digest
-// announces.
-func (s *State) use(now time.Time, one *server, parts []Part) {
-	for _, part := range parts {
-		one.use(now, part.ID, s.cfg.BeliefTime)
-		if part.Tokens < s.cfg.AnnounceTokens*s.routers || len(s.unannounced) >= maxUnannounced {
+// recordPrefixes records that the server prefills the prefixes, and which of them
+// the next digest announces.
+func (s *State) recordPrefixes(now time.Time, srv *server, prefixes []Part) {
+	for _, prefix := range prefixes {
+		srv.markUsed(now, prefix.ID, s.cfg.PrefixTTL)
+		if prefix.Tokens < s.cfg.AnnounceTokens*s.routers || len(s.pendingAnnouncements) >= maxPendingAnnouncements {
 			continue
 		}
-		if one.announce(now, part.ID, s.cfg.BeliefTime/2) {
-			s.unannounced = append(s.unannounced, Holding{Server: one.number, Part: part.ID})
+		if srv.markAnnounced(now, prefix.ID, s.cfg.PrefixTTL/2) {
+			s.pendingAnnouncements = append(s.pendingAnnouncements, Holding{Server: srv.number, Part: prefix.ID})
 		}
 	}
 }
 
-// dueHoldings returns what the next digest announces.
-func (s *State) dueHoldings() []Holding {
-	if len(s.unannounced) == 0 {
+// takeAnnouncements returns what the next digest announces.
+func (s *State) takeAnnouncements() []Holding {
+	if len(s.pendingAnnouncements) == 0 {
 		return nil
 	}
-	n := min(len(s.unannounced), maxHoldings)
-	out := s.unannounced[:n:n]
-	s.unannounced = s.unannounced[n:]
+	n := min(len(s.pendingAnnouncements), maxAnnouncements)
+	out := s.pendingAnnouncements[:n:n]
+	s.pendingAnnouncements = s.pendingAnnouncements[n:]
 	return out
 }
 
-// learnHoldings takes what another router announced.
-func (s *State) learnHoldings(now time.Time, holdings []Holding) {
-	for _, h := range holdings {
-		if one := s.numbers[h.Server]; one != nil {
-			one.use(now, h.Part, s.cfg.BeliefTime)
-			one.announce(now, h.Part, 0)
+// receiveAnnouncements takes the announcements of another router.
+func (s *State) receiveAnnouncements(now time.Time, announcements []Holding) {
+	for _, a := range announcements {
+		if srv := s.numbers[a.Server]; srv != nil {
+			srv.markUsed(now, a.Part, s.cfg.PrefixTTL)
+			srv.markAnnounced(now, a.Part, 0)
 		}
 	}
 }
--- a/coordination/admission/holdings_test.go
+++ b/coordination/admission/holdings_test.go
@@ -7,26 +7,27 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Pattern: thirty routers see a document each now and then. Ground: one that
-// does not know which server holds it has it read once more, 74 ms of an engine.
-func TestRoutersAnnounceWhoHoldsADocument(t *testing.T) {
+// Guards against repeated prefills where thirty routers each see a document only now
+// and then: one that does not know which server has it cached would have its prefill
+// repeated, which takes an engine 74 ms.
+func TestRoutersAnnounceCachedPrefixes(t *testing.T) {
 	a, b := linked(9), linked(9)
 	run := a.Place(epoch, prompt(6000, document)).Run
 	b.Told(epoch, "a", a.Digest(epoch, false, false))
-	b.start(epoch, b.servers[run.Server()], 20000, nil)
+	b.startRun(epoch, b.servers[run.Server()], 20000, nil)
 	got := b.Place(epoch, prompt(6000, document))
 	qt.Check(t, got.Source, qt.Equals, run.Server())
 	qt.Check(t, got.Server, qt.Not(qt.Equals), run.Server())
 }
 
-// A holding is announced once in half of the time for which it is believed,
-// small parts never, and what another router announced is not announced again.
-func TestAHoldingIsAnnouncedNowAndThen(t *testing.T) {
+// A cached prefix is announced once in half of PrefixTTL, small ones never, and an
+// announcement of another router is not repeated.
+func TestAnnouncementInterval(t *testing.T) {
 	a, b := linked(1), linked(1)
 	a.SetRouters(10)
 	b.SetRouters(10)
-	place := func(s *State, now time.Time, part Part) int {
-		s.FirstByte(now, s.Place(now, prompt(6000, part)).Run)
+	place := func(s *State, now time.Time, prefix Part) int {
+		s.FirstByte(now, s.Place(now, prompt(6000, prefix)).Run)
 		return len(s.Digest(now, false, false).Holdings)
 	}
 	qt.Check(t, place(a, epoch, document), qt.Equals, 1)
@@ -34,17 +35,17 @@
 	qt.Check(t, place(a, epoch.Add(6*time.Second), document), qt.Equals, 1)
 	qt.Check(t, place(a, epoch, Part{ID: 9, Tokens: 100}), qt.Equals, 0)
 
-	b.learnHoldings(epoch, []Holding{{Server: b.servers["i-0"].number, Part: document.ID}, {Server: 12345, Part: 1}})
+	b.receiveAnnouncements(epoch, []Holding{{Server: b.servers["i-0"].number, Part: document.ID}, {Server: 12345, Part: 1}})
 	qt.Check(t, place(b, epoch.Add(time.Second), document), qt.Equals, 0)
 }
 
-// What one digest cannot hold goes into the next ones, and no more than a bound
-// waits.
-func TestHoldingsAreBounded(t *testing.T) {
+// What does not fit into one digest goes into the next ones, and the number of
+// pending announcements is limited.
+func TestPendingAnnouncementsAreLimited(t *testing.T) {
 	s := linked(1)
-	one := s.servers["i-0"]
-	for id := range uint64(maxUnannounced + 100) {
-		s.use(epoch, one, []Part{{ID: id, Tokens: 1000}})
+	srv := s.servers["i-0"]
+	for id := range uint64(maxPendingAnnouncements + 100) {
+		s.recordPrefixes(epoch, srv, []Part{{ID: id, Tokens: 1000}})
 	}
 	announced := 0
 	for {
@@ -52,8 +53,8 @@
 		if n == 0 {
 			break
 		}
-		qt.Assert(t, n <= maxHoldings, qt.IsTrue)
+		qt.Assert(t, n <= maxAnnouncements, qt.IsTrue)
 		announced += n
 	}
-	qt.Check(t, announced, qt.Equals, maxUnannounced)
+	qt.Check(t, announced, qt.Equals, maxPendingAnnouncements)
 }
--- a/coordination/admission/homes_test.go
+++ b/coordination/admission/homes_test.go
@@ -7,10 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A route and a team are both bound to regions, beside regions that are lost: only
-// servers of a region in both lists get the request, however long the wait there,
-// and without one it is refused at once.
-func TestRequestsStayInTheirHomes(t *testing.T) {
+// A route and a team are both restricted to regions: only servers of a region in
+// both lists get the request, however long the wait there. If there is none, the
+// request is refused at once.
+func TestRequestsStayInAllowedRegions(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, service := range []string{"llm", "app"} {
 		s := New(DefaultConfig())
--- a/coordination/admission/impaired.go
+++ b/coordination/admission/impaired.go
@@ -7,33 +7,33 @@
 	"goldcrestport/coordination/selfcheck"
 )
 
-// SetLate tells whether this router reads its input late.
+// SetLate sets whether this router reads its input late.
 func (s *State) SetLate(late bool) {
-	s.check.SetLate(late)
+	s.selfCheck.SetLate(late)
 	s.teams.SetLate(late)
 }
 
-// SetPeriod tells how much time lies between two words of another router.
-func (s *State) SetPeriod(period time.Duration) { s.check.SetPeriod(period) }
+// SetPeriod sets the time between two digests of another router.
+func (s *State) SetPeriod(period time.Duration) { s.selfCheck.SetPeriod(period) }
 
-// SetDataCentre tells where the server is.
+// SetDataCentre sets the data centre of the server.
 func (s *State) SetDataCentre(id, dataCentre string) {
-	if one := s.servers[id]; one != nil {
-		one.dataCentre = dataCentre
+	if srv := s.servers[id]; srv != nil {
+		srv.dataCentre = dataCentre
 	}
 }
 
-// SelfCheck looks whether this router is impaired, and reports whether that changed. What it
-// held against servers a moment before is taken back then. It is to be called several times
-// a second.
+// SelfCheck checks whether this router is impaired, and reports whether that
+// changed. When the router is found impaired, its recent ejections of servers are
+// undone. SelfCheck is to be called several times a second.
 func (s *State) SelfCheck(now time.Time) (signs selfcheck.Signs, changed bool) {
 	var servers map[string]int
-	if s.check.Misses() {
+	if s.selfCheck.Misses() {
 		servers = s.serversByDataCentre()
 	}
-	signs = s.check.Check(now, servers)
+	signs = s.selfCheck.Check(now, servers)
 	before := s.isImpaired
-	s.isImpaired = s.check.Impaired(now)
+	s.isImpaired = s.selfCheck.Impaired(now)
 	if s.isImpaired && !before {
 		s.readmit(now)
 	}
@@ -41,45 +41,45 @@
 	return signs, s.isImpaired != before
 }
 
-// Impaired reports whether the last look found this router impaired: it ejects nobody, and
-// forgets nobody.
+// Impaired reports whether the last self-check found this router impaired. While it
+// is, it ejects no servers and keeps what its peers sent for longer.
 func (s *State) Impaired() bool { return s.isImpaired }
 
 func (s *State) serversByDataCentre() map[string]int {
 	out := make(map[string]int)
-	for _, one := range s.servers {
-		out[one.dataCentre]++
+	for _, srv := range s.servers {
+		out[srv.dataCentre]++
 	}
 	return out
 }
 
-// readmitTime is the time before the first sign within which ejections are taken back: about
-// as long as a connection is tried.
-const readmitTime = time.Second
+// readmitWindow is the time before the self-check found this router impaired in
+// which ejections are undone: about as long as a connection attempt takes.
+const readmitWindow = time.Second
 
 func (s *State) readmit(now time.Time) {
-	for _, one := range s.servers {
-		if one.health.Ejected() && now.Sub(one.ejectedAt) <= readmitTime {
-			one.health = health.New(s.cfg.Health)
+	for _, srv := range s.servers {
+		if srv.health.Ejected() && now.Sub(srv.ejectedAt) <= readmitWindow {
+			srv.health = health.New(s.cfg.Health)
 		}
 	}
 }
 
-// blames reports whether the result may be held against the server, and notes what it tells
-// of this router.
-func (s *State) blames(now time.Time, one *server, result health.Result) bool {
+// countsAgainst reports whether the result counts against the server, and passes the
+// result to the self-check.
+func (s *State) countsAgainst(now time.Time, srv *server, result health.Result) bool {
 	switch result {
 	case health.NoResult:
 		return true
 	case health.Unreachable:
-		s.check.Unreached(now, one.id, one.dataCentre)
+		s.selfCheck.Unreached(now, srv.id, srv.dataCentre)
 		s.SelfCheck(now)
 		return !s.isImpaired
 	case health.Success:
-		s.check.Reached(one.id)
+		s.selfCheck.Reached(srv.id)
 		return true
 	default:
-		s.check.Reached(one.id)
+		s.selfCheck.Reached(srv.id)
 		return !s.isImpaired
 	}
 }
--- a/coordination/admission/impaired_test.go
+++ b/coordination/admission/impaired_test.go
@@ -10,9 +10,10 @@
 	"goldcrestport/coordination/health"
 )
 
-// Guards against a router that hears nobody while all others speak, of whose lateness nothing
-// is known yet: it took itself for one of thirty alike and refused all for its own queue.
-func TestARouterThatSuddenlyHearsNobodyRefusesNothingForIt(t *testing.T) {
+// Guards against a router that suddenly receives nothing from any other router,
+// before it is known to read late: it assumed that thirty routers had as much in
+// flight as itself and refused everything.
+func TestSilenceOfAllPeersCausesNoRefusals(t *testing.T) {
 	const routers, servers = 30, 50
 	s := engines(servers)
 	s.SetRouters(routers)
@@ -25,12 +26,12 @@
 		s.Tick(now)
 	}
 	sent, _ := placeEach(s, now, 30)
-	qt.Check(t, sent, qt.Equals, 300, qt.Commentf("of 300 requests that 50 idle servers can begin at once"))
+	qt.Check(t, sent, qt.Equals, 300, qt.Commentf("of 300 requests that 50 idle servers can start at once"))
 }
 
-// Guards against a late router that ejects servers which others reach: its own connections
-// time out.
-func TestALateRouterEjectsNoServer(t *testing.T) {
+// Guards against a late router that ejects servers which other routers can reach:
+// its own connections time out.
+func TestLateRouterEjectsNoServer(t *testing.T) {
 	s := engines(20)
 	now := epoch
 	s.SetLate(true)
@@ -42,8 +43,8 @@
 	qt.Check(t, s.Ejected(), qt.HasLen, 0)
 }
 
-// placeEach lets ten requests come each 100 ms, whose answers begin at once, and returns how
-// many were sent.
+// placeEach places ten requests every 100 ms, whose answers start at once, and
+// returns how many were sent.
 func placeEach(s *State, now time.Time, rounds int) (sent int, end time.Time) {
 	for range rounds {
 		now = now.Add(100 * time.Millisecond)
--- a/coordination/admission/limit.go
+++ b/coordination/admission/limit.go
@@ -8,32 +8,34 @@
 	"goldcrestport/coordination/throttle"
 )
 
-// standing is what the team of a request got in the window.
+// standing is what the team of a request received within the window, in relation to
+// its fair share.
 type standing struct {
-	// share relates it to the team's max-min share of the named capacity; 0 while
-	// all that is asked fits.
+	// share is in relation to the team's max-min fair share of the configured
+	// capacity; 0 while the total demand fits into it.
 	share float64
-	// served relates it to the team's max-min share of what all teams got; 0
-	// while nearly all that is asked is served.
+	// served is in relation to the team's max-min fair share of what all teams
+	// received; 0 while nearly all of the demand is served.
 	served float64
 }
 
-// standing returns the team's standing.
+// standing returns the standing of the team.
 func (s *State) standing(now time.Time, team fairshare.TeamID) standing {
 	share := s.teams.Standing(now, team, s.capacity)
-	s.followTeams()
+	s.syncThrottle()
 	return standing{share: share, served: s.teams.ServedStanding(team)}
 }
 
-// TeamStanding returns what the team got in relation to its share of the named capacity
-// and of what engines serve, and that share in tokens; 0 while all that is asked fits.
+// TeamStanding returns what the team received in relation to its share of the
+// configured capacity and of what the engines serve, and the max-min fair share
+// level in tokens; 0 while the total demand fits.
 func (s *State) TeamStanding(now time.Time, team string) (share, served, level float64) {
-	of := s.standing(now, fairshare.IDOf(team))
-	return of.share, of.served, s.teams.Level()
+	got := s.standing(now, fairshare.IDOf(team))
+	return got.share, got.served, s.teams.Level()
 }
 
-// ThrottleBound returns the rate up to which a team may send, over all routers, in tokens a
-// second; 0: nobody is throttled.
+// ThrottleBound returns the rate up to which a team may send, over all routers, in
+// tokens per second; 0: no team is throttled.
 func (s *State) ThrottleBound() float64 {
 	bound := s.throttle.Bound()
 	if math.IsInf(bound, 1) {
@@ -42,28 +44,30 @@
 	return bound
 }
 
-// Ask counts a request as asked for and returns its size, 0 for plain services.
+// Ask counts a request towards its team's demand and returns its size in
+// tokens, 0 for plain services.
 func (s *State) Ask(now time.Time, req Request) (tokens float64) {
 	if !s.pool(req.Service).traits.Engine {
 		return 0
 	}
-	tokens = s.tokens(req)
-	s.ask(now, fairshare.IDOf(req.Team), tokens)
+	tokens = s.demand(req)
+	s.countDemand(now, fairshare.IDOf(req.Team), tokens)
 	return tokens
 }
 
-func (s *State) ask(now time.Time, team fairshare.TeamID, tokens float64) {
+func (s *State) countDemand(now time.Time, team fairshare.TeamID, tokens float64) {
 	s.teams.Ask(now, team, tokens)
 	s.throttle.Ask(now, team, tokens)
 }
 
-// followTeams tells the throttle what teams ask and get, when that was summed anew.
-func (s *State) followTeams() {
+// syncThrottle passes the demand and usage of the teams to the throttle whenever
+// they were summed anew.
+func (s *State) syncThrottle() {
 	at := s.teams.Leveled()
-	if at.Equal(s.throttled) {
+	if at.Equal(s.throttleUpdated) {
 		return
 	}
-	s.throttled = at
+	s.throttleUpdated = at
 	teams := make(map[fairshare.TeamID]throttle.Team)
 	s.teams.Each(func(id fairshare.TeamID, use fairshare.Use) {
 		teams[id] = throttle.Team{Asked: use.AskedLately, BegunLately: use.BegunLately, Throttled: use.ThrottledLately, Begun: use.Begun / s.cfg.Window.Seconds()}
@@ -71,113 +75,114 @@
 	s.throttle.Observe(at, s.teams.Share(), teams)
 }
 
-// AskUnread counts a request of the team that was turned away unread.
+// AskUnread counts a request of the team that was refused before it was
+// read.
 func (s *State) AskUnread(now time.Time, team string) {
 	id := fairshare.IDOf(team)
 	s.throttle.Ask(now, id, s.teams.AskUnread(now, id))
 }
 
-// limit is the estimated wait up to which the request is admitted.
-func (s *State) limit(req Request, c candidate, standing standing) time.Duration {
-	patience := float64(s.patience(req.Service))
-	own := s.cfg.OwnReading * float64(s.reading(c.unread))
-	patience -= min(own, s.cfg.OwnReadingMost*patience)
-	patience *= s.turn(standing)
+// admissionLimit returns the estimated wait up to which the request is admitted.
+func (s *State) admissionLimit(req Request, c candidate, standing standing) time.Duration {
+	limit := float64(s.waitLimit(req.Service))
+	ownPrefill := s.cfg.OwnPrefillShare * float64(s.prefillTime(c.prefillTokens))
+	limit -= min(ownPrefill, s.cfg.OwnPrefillMax*limit)
+	limit *= s.standingFactor(standing)
 	if req.Elapsed > 0 && standing.share <= 1 {
-		patience *= s.cfg.Returned
+		limit *= s.cfg.RetryFactor
 	}
-	if late := s.latest(req, c); late > 0 {
-		// What its own reading makes late is late anywhere.
-		patience = min(patience, float64(late))
+	if latest := s.latestWait(req, c); latest > 0 {
+		// A request that is late because of its own prefill is late at any server.
+		limit = min(limit, float64(latest))
 	}
-	return time.Duration(patience)
+	return time.Duration(limit)
 }
 
-// firstTokenBase is the time to a first token without a queue and with a short
-// prompt: one step of the engine and the way there and back.
+// firstTokenBase is the time to the first token without a queue and with a short
+// prompt: one engine step and the network round trip.
 const firstTokenBase = 30 * time.Millisecond
 
-// latest is the wait after which a first attempt would miss its objective; 0
-// or less when nothing binds. Callers who come back are not bound, as it is
-// their last attempt: late is better than never.
-func (s *State) latest(req Request, c candidate) time.Duration {
+// latestWait returns the longest wait with which a first attempt still meets its
+// objective; 0 or less if there is no such limit. Callers that come back are not
+// limited, as it is their last attempt: late is better than never.
+func (s *State) latestWait(req Request, c candidate) time.Duration {
 	if req.Objective <= 0 || req.Elapsed > 0 {
 		return 0
 	}
-	return time.Duration(s.cfg.OnTime*float64(req.Objective)) - c.reading - firstTokenBase
+	return time.Duration(s.cfg.OnTimeShare*float64(req.Objective)) - c.prefill - firstTokenBase
 }
 
-// patience is the wait up to which requests of the service are admitted that
-// are neither long nor of a team that is far from its share. All requests of a
-// service have the same: what its engines have to read stays below what the
-// most urgent of them can wait.
-func (s *State) patience(service string) time.Duration {
+// waitLimit returns the wait limit of the service for requests that are not long and
+// whose team is not far from its share. It is the same for all requests of a
+// service: the queue of its engines stays below what the most urgent of them can
+// wait for.
+func (s *State) waitLimit(service string) time.Duration {
 	objective := s.pool(service).traits.Objective
 	if objective <= 0 {
-		return s.cfg.Patience
+		return s.cfg.DefaultWaitLimit
 	}
-	return time.Duration(s.cfg.PatienceShare * float64(objective))
+	return time.Duration(s.cfg.WaitLimitShare * float64(objective))
 }
 
-// Standings between which a team's turn goes from that of one well below its
-// share to that of one beyond it. Between two that are beyond, the one that got
-// less goes first.
+// Standings between which the factor of a team falls from that of a team well below
+// its share to that of one beyond it. Of two teams beyond their shares, the one that
+// received less has the larger factor.
 const (
-	wellBelow  = 0.7
-	wellBeyond = 1.3
+	wellBelowShare  = 0.7
+	wellBeyondShare = 1.3
 )
 
-// turn is the factor of the patience for a team's standing.
-func (s *State) turn(of standing) float64 {
+// standingFactor returns the factor of the wait limit for the standing of a team.
+func (s *State) standingFactor(team standing) float64 {
 	switch {
-	case of.share == 0:
-		return s.crowded(of.served)
-	case of.share <= 1:
-		return s.graded(of.share)
+	case team.share == 0:
+		return s.servedFactor(team.served)
+	case team.share <= 1:
+		return s.shareFactor(team.share)
 	default:
-		// None gets ahead of a team at its share.
-		return min(s.graded(of.share)*s.levelled(of.served), s.graded(1))
+		// No team beyond its share gets a larger factor than a team at its share.
+		return min(s.shareFactor(team.share)*s.levellingFactor(team.served), s.shareFactor(1))
 	}
 }
 
-// levelled evens out what teams beyond their share of the named capacity get of
-// what the engines do besides.
+// levellingFactor evens out what teams beyond their share of the configured capacity
+// get of what the engines do in addition.
 //
-// The pattern that it answers: engines do twice of what is named, and of two teams
-// far beyond their shares one calls many routers and the other two. At queues of
-// some milliseconds turns hardly differ, so that the one with more attempts got
-// 16 M tokens in six seconds, and the other 6.7 of the 14.5 M that it asked for.
-func (s *State) levelled(served float64) float64 {
+// Engines may do twice the configured capacity while, of two teams far beyond their
+// shares, one calls many routers and the other two. At queues of a few milliseconds
+// their wait limits hardly differed, so that the team with more attempts got 16 M
+// tokens in six seconds, and the other 6.7 of the 14.5 M that it demanded.
+func (s *State) levellingFactor(served float64) float64 {
 	if served <= 0 {
 		return 1
 	}
-	return min(max(math.Pow(served, -s.cfg.Levelling), 1/s.cfg.LevelMost), s.cfg.LevelMost)
+	return min(max(math.Pow(served, -s.cfg.LevellingExponent), 1/s.cfg.LevellingMax), s.cfg.LevellingMax)
 }
 
-// Standings in what engines serve between which a team's turn falls to that of
-// one that crowds others out. A single team that asks for more than there is has
-// just what the others leave, a standing of 1, and takes nothing from them.
+// Served standings between which the factor of a team falls to that of a team that
+// displaces others. A single team that demands more than there is gets just what the
+// others leave, a standing of 1, and displaces nobody.
 const (
-	servedFair   = 1.1
-	servedBeyond = 1.6
+	fairServed      = 1.1
+	excessiveServed = 1.6
 )
 
-// crowded is the factor for a team's standing in what engines serve.
-func (s *State) crowded(served float64) float64 {
-	part := min(max((served-servedFair)/(servedBeyond-servedFair), 0), 1)
-	return s.cfg.Below + part*(s.cfg.Crowding-s.cfg.Below)
+// servedFactor returns the factor of the wait limit for a served standing.
+func (s *State) servedFactor(served float64) float64 {
+	fraction := min(max((served-fairServed)/(excessiveServed-fairServed), 0), 1)
+	return s.cfg.UnderShareFactor + fraction*(s.cfg.OverServedFactor-s.cfg.UnderShareFactor)
 }
 
-// graded goes from the factor of a team well below its share to that of one well
-// beyond it, and falls further from there.
-func (s *State) graded(standing float64) float64 {
+// shareFactor falls from the factor of a team well below its share to that of one
+// well beyond it, and further from there.
+func (s *State) shareFactor(standing float64) float64 {
 	switch {
-	case standing <= wellBelow:
-		return s.cfg.Below
-	case standing >= wellBeyond:
-		return s.cfg.Beyond * wellBeyond / standing
+	case standing <= wellBelowShare:
+		return s.cfg.UnderShareFactor
+	case standing >= wellBeyondShare:
+		return s.cfg.OverShareFactor * wellBeyondShare / standing
 	default:
-		part := (standing - wellBelow) / (wellBeyond - wellBelow)
-		return s.cfg.Below + part*(s.cfg.Beyond-s.cfg.Below)
+		fraction := (standing - wellBelowShare) / (wellBeyondShare - wellBelowShare)
+		return s.cfg.UnderShareFactor + fraction*(s.cfg.OverShareFactor-s.cfg.UnderShareFactor)
 	}
 }
--- a/coordination/admission/output.go
+++ b/coordination/admission/output.go
@@ -1,33 +1,35 @@
 package admission
 
-// outputs learns which part of the bound on generated tokens the requests of a
-// class use: callers give a bound, and most answers are far shorter.
-type outputs map[string]float64
+// outputShares learns which fraction of the bound on generated tokens the requests
+// of a class use: callers give a bound, and most answers are far shorter.
+type outputShares map[string]float64
 
-// firstOutput is presumed of a class that has no answer yet, and outputGain is
-// the weight of one answer: some tens of them settle it.
+// initialOutputShare is assumed for a class that has no answer yet. outputShareGain
+// is the weight of one answer: the estimate settles after some tens of answers.
 const (
-	firstOutput = 0.33
-	outputGain  = 0.05
+	initialOutputShare = 0.33
+	outputShareGain    = 0.05
 )
 
-// expect returns the tokens that a request of the class will generate.
-func (o outputs) expect(class string, bound int) float64 {
-	part, known := o[class]
+// expectedTokens returns the number of tokens that a request of the class is
+// expected to generate.
+func (o outputShares) expectedTokens(class string, bound int) float64 {
+	share, known := o[class]
 	if !known {
-		part = firstOutput
+		share = initialOutputShare
 	}
-	return part * float64(bound)
+	return share * float64(bound)
 }
 
-// learn takes the tokens that a complete answer had.
-func (o outputs) learn(class string, bound int, tokens float64) {
+// observe updates the fraction of the class with the number of tokens of a complete
+// answer.
+func (o outputShares) observe(class string, bound int, tokens float64) {
 	if bound <= 0 {
 		return
 	}
-	part, known := o[class]
+	share, known := o[class]
 	if !known {
-		part = firstOutput
+		share = initialOutputShare
 	}
-	o[class] = part + outputGain*(min(tokens/float64(bound), 1)-part)
+	o[class] = share + outputShareGain*(min(tokens/float64(bound), 1)-share)
 }
--- a/coordination/admission/pace.go
+++ b/coordination/admission/pace.go
@@ -5,52 +5,52 @@
 	"time"
 )
 
-// Constants of a pace.
+// Parameters of the slowdown estimate.
 const (
-	// paceTime is the time in which observations lose most of their weight: a
-	// server that turns slow is known within seconds, as is its return.
-	paceTime = 3 * time.Second
-	// paceLeast is the shortest estimate that tells something of the pace; in
-	// shorter ones the network and the engine's step weigh as much.
-	paceLeast = 20 * time.Millisecond
-	// pacePrior is the weight of the presumption that a server is as fast as
-	// the settings say: as much as a few long prompts.
-	pacePrior = 300 * time.Millisecond
-	// paceLow and paceHigh bound the factor: servers differ by tens of per
+	// slowdownDecay is the time in which observations lose most of their weight: a
+	// server that becomes slow is detected within seconds, as is its recovery.
+	slowdownDecay = 3 * time.Second
+	// slowdownMinEstimate is the shortest estimate that is used; in shorter ones the
+	// network and the engine step weigh as much as the prefill.
+	slowdownMinEstimate = 20 * time.Millisecond
+	// slowdownPrior is the weight of the assumption that a server is as fast as
+	// configured: as much as a few long prompts.
+	slowdownPrior = 300 * time.Millisecond
+	// minSlowdown and maxSlowdown limit the factor: servers differ by tens of per
 	// cent, and slow ones take up to eight times as long.
-	paceLow  = 0.5
-	paceHigh = 8
+	minSlowdown = 0.5
+	maxSlowdown = 8
 )
 
-// pace learns how long a server takes for what should take a given time: the
-// ratio of the sums of both, over the last seconds.
-type pace struct {
-	estimated, took float64
-	at              time.Time
+// slowdown estimates how much longer a server's prefill takes than estimated: the
+// ratio of the sums of observed and estimated times over the last seconds.
+type slowdown struct {
+	estimated, observed float64
+	updatedAt           time.Time
 }
 
-// observe notes that what was estimated took so long.
-func (p *pace) observe(now time.Time, estimated, took time.Duration) {
-	if estimated < paceLeast {
+// observe records an estimated time and the time that was observed for it.
+func (p *slowdown) observe(now time.Time, estimated, observed time.Duration) {
+	if estimated < slowdownMinEstimate {
 		return
 	}
-	keep := p.keep(now)
-	p.estimated = p.estimated*keep + float64(estimated)
-	p.took = p.took*keep + float64(took)
-	p.at = now
+	decay := p.decay(now)
+	p.estimated = p.estimated*decay + float64(estimated)
+	p.observed = p.observed*decay + float64(observed)
+	p.updatedAt = now
 }
 
-// keep is the part of the observations' weight that is left.
-func (p *pace) keep(now time.Time) float64 {
-	if p.at.IsZero() {
+// decay returns the fraction of their weight that the observations still have.
+func (p *slowdown) decay(now time.Time) float64 {
+	if p.updatedAt.IsZero() {
 		return 0
 	}
-	return math.Exp(-float64(now.Sub(p.at)) / float64(paceTime))
+	return math.Exp(-float64(now.Sub(p.updatedAt)) / float64(slowdownDecay))
 }
 
-// factor is by how much the server is slower than estimated.
-func (p *pace) factor(now time.Time) float64 {
-	keep := p.keep(now)
-	ratio := (p.took*keep + float64(pacePrior)) / (p.estimated*keep + float64(pacePrior))
-	return min(max(ratio, paceLow), paceHigh)
+// factor returns the ratio of observed to estimated time.
+func (p *slowdown) factor(now time.Time) float64 {
+	decay := p.decay(now)
+	ratio := (p.observed*decay + float64(slowdownPrior)) / (p.estimated*decay + float64(slowdownPrior))
+	return min(max(ratio, minSlowdown), maxSlowdown)
 }
--- a/coordination/admission/peers.go
+++ b/coordination/admission/peers.go
@@ -9,59 +9,63 @@
 	"goldcrestport/coordination/roster"
 )
 
-// ServerID names an incarnation of a server in messages between routers.
+// ServerID identifies an incarnation of a server in messages between routers.
 type ServerID uint32
 
-// Use is what one router has at one server.
+// Use is the work that one router has in flight at one server.
 type Use struct {
-	// Unread are the prompt tokens sent and not answered by a first event.
+	// Unread is the number of prompt tokens that were sent and have had no
+	// first event yet.
 	Unread float64
-	// Runs are the requests that have not ended.
+	// Runs is the number of requests that have not ended.
 	Runs int
 }
 
-// Digest is what a router tells the others of its own state. The figures are
-// whole, not differences, so that a lost message costs nothing but time.
+// Digest is what a router sends to the others of its own state. Its figures are
+// absolute, not differences, so that a lost message only delays an update.
 type Digest struct {
-	// All tells that servers that are not named have no use.
+	// All is set if nothing is in flight at servers that are not listed.
 	All     bool
 	Servers map[ServerID]Use
-	// Teams holds the use of every team, or is nil when it is left out.
+	// Teams holds the usage of every team, or is nil if it is left out.
 	Teams map[fairshare.TeamID]fairshare.Use
-	// Holdings are the shared parts that servers read, since the last digest.
+	// Holdings are the shared prefixes that servers prefilled since the last
+	// digest.
 	Holdings []Holding
-	// Leaving are the servers that told the sender itself that they leave.
+	// Leaving are the servers that announced their shutdown to the sender
+	// itself.
 	Leaving []ServerID
 }
 
-// peer is what another router told last.
+// peer is what another router sent last.
 type peer struct {
-	at      time.Time
-	servers map[ServerID]Use
+	receivedAt time.Time
+	inFlight   map[ServerID]Use
 }
 
-// peerTime is how long another router's word counts. Routers tell each other
-// several times a second; one that is silent for longer is cut off or gone, and
-// is presumed to be like the others.
-const peerTime = time.Second
+// peerTTL is how long the digest of another router is used. Routers send several
+// digests a second; one that is silent for longer is partitioned or gone, and is
+// assumed to have as much in flight as the others on average.
+const peerTTL = time.Second
 
-// deafTime is how long it counts at an impaired router: that hears nothing whoever speaks,
-// and a flood's router is like no other.
-const deafTime = 10 * time.Second
+// impairedPeerTTL replaces peerTTL while this router is impaired: it then receives
+// nothing whoever sends, and the others do not have as much in flight as a flooded
+// router.
+const impairedPeerTTL = 10 * time.Second
 
-// Digest returns what this router tells the others: the servers whose use
-// changed since the last digest, or all of them.
+// Digest returns what this router sends to the others: the servers whose in-flight
+// work changed since the last digest, or all of them.
 func (s *State) Digest(now time.Time, all, teams bool) Digest {
-	d := Digest{All: all, Servers: make(map[ServerID]Use), Holdings: s.dueHoldings()}
+	d := Digest{All: all, Servers: make(map[ServerID]Use), Holdings: s.takeAnnouncements()}
 	if teams {
 		d.Teams = s.teams.Own(now)
 	}
-	for _, one := range s.servers {
-		use := Use{Unread: one.unread, Runs: one.running + one.awaiting}
-		if all && use.Runs > 0 || !all && use != one.told {
-			d.Servers[one.number] = use
+	for _, srv := range s.servers {
+		inFlight := Use{Unread: srv.pendingTokens, Runs: srv.running + srv.awaiting}
+		if all && inFlight.Runs > 0 || !all && inFlight != srv.lastSent {
+			d.Servers[srv.number] = inFlight
 		}
-		one.told = use
+		srv.lastSent = inFlight
 	}
 	return d
 }
@@ -70,84 +74,86 @@
 func (s *State) Told(now time.Time, router string, d Digest) {
 	p := s.peers[router]
 	if p == nil {
-		p = &peer{servers: make(map[ServerID]Use)}
+		p = &peer{inFlight: make(map[ServerID]Use)}
 		s.peers[router] = p
 	}
-	p.at = now
-	s.check.Heard(now, router)
-	s.learnHoldings(now, d.Holdings)
+	p.receivedAt = now
+	s.selfCheck.Heard(now, router)
+	s.receiveAnnouncements(now, d.Holdings)
 	if d.All {
-		for id := range p.servers {
-			if _, named := d.Servers[id]; !named {
-				s.setOther(p, id, Use{})
+		for id := range p.inFlight {
+			if _, listed := d.Servers[id]; !listed {
+				s.setPeerInFlight(p, id, Use{})
 			}
 		}
 	}
-	for id, use := range d.Servers {
-		s.setOther(p, id, use)
+	for id, inFlight := range d.Servers {
+		s.setPeerInFlight(p, id, inFlight)
 	}
 	if d.Teams != nil {
 		s.teams.Reported(now, router, d.Teams)
 	}
 }
 
-// NumberOf returns the number by which messages name an incarnation of a server.
+// NumberOf returns the number that identifies an incarnation of a server in
+// messages.
 func NumberOf(id string, incarnation roster.Incarnation) ServerID {
 	return ServerID(xxhash.Sum64String(roster.Identity(id, incarnation)))
 }
 
-// Numbered returns the known server of the number.
+// Numbered returns the known server with the number.
 func (s *State) Numbered(number ServerID) (id string, incarnation roster.Incarnation, known bool) {
-	one := s.numbers[number]
-	if one == nil {
+	srv := s.numbers[number]
+	if srv == nil {
 		return "", 0, false
 	}
-	return one.id, one.incarnation, true
+	return srv.id, srv.incarnation, true
 }
 
-// setOther replaces the peer's use of a server in the sum of all.
-func (s *State) setOther(p *peer, id ServerID, use Use) {
-	before := p.servers[id]
-	sum := s.others[id]
-	sum.Unread = max(sum.Unread+use.Unread-before.Unread, 0)
-	sum.Runs += use.Runs - before.Runs
-	if use == (Use{}) {
-		delete(p.servers, id)
+// setPeerInFlight replaces the peer's in-flight work at a server in the sum over all
+// peers.
+func (s *State) setPeerInFlight(p *peer, id ServerID, inFlight Use) {
+	before := p.inFlight[id]
+	sum := s.peersInFlight[id]
+	sum.Unread = max(sum.Unread+inFlight.Unread-before.Unread, 0)
+	sum.Runs += inFlight.Runs - before.Runs
+	if inFlight == (Use{}) {
+		delete(p.inFlight, id)
 	} else {
-		p.servers[id] = use
+		p.inFlight[id] = inFlight
 	}
 	if sum.Runs <= 0 {
-		delete(s.others, id)
+		delete(s.peersInFlight, id)
 	} else {
-		s.others[id] = sum
+		s.peersInFlight[id] = sum
 	}
 }
 
-// PeersAge is how long ago the router that is silent for the longest told
-// something; 0 without others.
+// PeersAge returns the time since the last digest of the router that has been
+// silent for the longest; 0 without other routers.
 func (s *State) PeersAge(now time.Time) time.Duration {
 	var oldest time.Duration
 	for _, p := range s.peers {
-		oldest = max(oldest, now.Sub(p.at))
+		oldest = max(oldest, now.Sub(p.receivedAt))
 	}
 	return oldest
 }
 
-// Tick drops the word of routers that are silent, and what servers asked for that are
-// out. It is to be called several times a second.
+// Tick drops the state of routers that are silent, and the ended back-offs of
+// servers that were removed. It is to be called several times a second.
 func (s *State) Tick(now time.Time) {
-	s.forgetParted(now)
+	s.dropExpiredBackoffs(now)
 	s.SelfCheck(now)
-	most := peerTime
+	ttl := peerTTL
 	if s.isImpaired {
-		most = deafTime
+		ttl = impairedPeerTTL
 	}
 	for router, p := range s.peers {
-		if now.Sub(p.at) <= most {
+		if now.Sub(p.receivedAt) <= ttl {
 			continue
 		}
-		for id := range p.servers {
-			s.setOther(p, id, Use{})
+		for id := range p.inFlight {
+			s.setPeerInFlight(p, id, Use{})
 		}
 		delete(s.peers, router)
 	}
--- a/coordination/admission/request.go
+++ b/coordination/admission/request.go
@@ -6,7 +6,7 @@
 	"goldcrestport/coordination/roster"
 )
 
-// Part is one part of a prompt that other requests may share.
+// Part is a part of a prompt that other requests may share.
 type Part struct {
 	ID     uint64
 	Tokens int
@@ -16,89 +16,94 @@
 type Request struct {
 	Service string
 	Team    string
-	// Class names requests of like length, such as those of one route.
+	// Class groups requests of similar length, such as those of one route.
 	Class string
-	// Prompt is the number of tokens to read; 0 for plain services.
+	// Prompt is the number of prompt tokens; 0 for plain services.
 	Prompt int
-	// Output bounds the tokens to generate.
+	// Output is the maximum number of tokens to generate.
 	Output int
-	// Shared are the parts of the prompt that other requests may have
-	// brought, in order; the request's own last part is not among them.
+	// Shared are the parts of the prompt, in order, that other requests may
+	// have in common with it. The request's own last part is not among them.
 	Shared []Part
-	// Objective is the time in which the first token is worth most; 0: unknown.
+	// Objective is the time within which the first token has its full value; 0:
+	// unknown.
 	Objective time.Duration
-	// Elapsed is the time since the caller's first attempt; above 0 it was
-	// refused before.
+	// Elapsed is the time since the caller's first attempt. If it is above 0, the
+	// request was refused before.
 	Elapsed time.Duration
-	// Avoid names servers at which the request failed already.
+	// Avoid names servers at which the request already failed.
 	Avoid []string
-	// Homes are lists of regions; the request may go to servers only whose region
-	// is in each of them.
+	// Homes are lists of regions; the request may only go to servers whose
+	// region is in each of them.
 	Homes [][]string
-	// Repeatable tells that the request may run more than once.
+	// Repeatable is set if the request may run more than once.
 	Repeatable bool
-	// Sent tells that the request was sent before and is counted already.
+	// Sent is set if the request was sent before and is already counted.
 	Sent bool
-	// Asked tells that it was counted as asked for when it came.
+	// Asked is set if the request was counted towards its team's demand when it
+	// came.
 	Asked bool
-	// Again tells that a server may have run it: it goes on at a further one
-	// whatever the wait.
+	// Again is set if a server may have run the request: it is then sent to a
+	// further one whatever the wait.
 	Again bool
 }
 
-// Verdict says what becomes of a request.
+// Verdict says what happens to a request.
 type Verdict int
 
 // Verdicts.
 const (
-	// Send the request to the decision's server.
+	// Send the request to the server of the decision.
 	Send Verdict = iota
-	// Refuse it: nothing can serve it in time.
+	// Refuse the request: no server can serve it in time.
 	Refuse
-	// NoServer tells that the service has no usable server.
+	// NoServer says that the service has no usable server.
 	NoServer
 )
 
-// Decision is the answer of Place, with the inputs that decided it.
+// Decision is the result of Place, with the inputs that led to it.
 type Decision struct {
 	Verdict Verdict
 	Run     *Run
-	// Server is the id of the chosen or best server.
+	// Server is the id of the chosen server, or of the best one if the request was
+	// refused.
 	Server string
 	// Wait is the estimated wait for the first token there.
 	Wait time.Duration
 	// Limit is the wait up to which the request was admissible.
 	Limit time.Duration
-	// RetryAfter is when a refused caller should come back.
+	// RetryAfter is the time after which a refused caller should come back.
 	RetryAfter time.Duration
-	// Unread are the request's own prompt tokens that the server would read.
+	// Unread is the number of the request's own prompt tokens that the server
+	// would prefill.
 	Unread int
-	// QueueTokens and QueueRuns are the prompt tokens and the generations that
-	// the server was believed to have before this request.
+	// QueueTokens and QueueRuns are the estimated numbers of prompt tokens and of
+	// generations that the server had before this request.
 	QueueTokens, QueueRuns int
-	// Source is the id of a server from whose memory the chosen one may take
-	// shared parts; empty for none.
+	// Source is the id of a server from whose cache the chosen one may fetch shared
+	// prefixes; empty for none.
 	Source string
-	// Rank of the server in the order of the request's shared part, from 0.
+	// Rank is the rank of the server for the request's last shared prefix, from 0.
 	Rank int
-	// Standing is what the team got in relation to its share; 0 while all
-	// that is asked for fits.
+	// Standing is what the team received in relation to its max-min fair share of
+	// the configured capacity; 0 while the total demand fits into it.
 	Standing float64
-	// Served is what the team got in relation to its share of what all teams got;
-	// 0 while nearly all that is asked is served.
+	// Served is what the team received in relation to its max-min fair share of what
+	// all teams received; 0 while nearly all of the demand is served.
 	Served float64
-	// Throttled tells that the team is ahead of the least served one that asks for more,
-	// and used up its rate here.
+	// Throttled is set if the team has received more than the least served team that
+	// demands more, and has used up its rate at this router.
 	Throttled bool
-	// Cold tells that the server is cold, or, of a refusal, that only cold ones are
-	// left and their rates are used.
+	// Cold is set if the chosen server is cold or, for a refusal, if only cold
+	// servers are left and their rates are used up.
 	Cold bool
-	// BackingOff is the number of servers of the service that want no requests now.
+	// BackingOff is the number of servers of the service that requested a back-off
+	// which still lasts.
 	BackingOff int
-	// SinceBackoff is how long ago the chosen server asked for none, if it has taken
-	// no request since; else -1ms.
+	// SinceBackoff is the time since the chosen server last requested a back-off, if
+	// it has accepted no request since; else -1ms.
 	SinceBackoff time.Duration
-	// Reason of a refusal, for logs and metrics.
+	// Reason is the reason of a refusal, for logs and metrics.
 	Reason string
 }
 
@@ -107,36 +112,37 @@
 	ReasonWait     = "estimated_wait"
 	ReasonNoServer = "no_server"
 	ReasonCold     = "cold"
-	// ReasonBackoff: all servers asked for no requests.
+	// ReasonBackoff: all servers requested a back-off.
 	ReasonBackoff = "backoff"
 )
 
 // Run is a request that was sent to a server. It is owned by the State.
 type Run struct {
-	server *server
-	class  string
-	output int
-	unread float64
-	probe  bool
-	// trial tells that it is the first request after its server asked for none.
-	trial bool
-	// sent is when it was sent, estimate how long its first token was expected
-	// to take at the presumed rate; 0: unknown.
-	sent     time.Time
-	estimate time.Duration
-	first    bool
-	began    time.Time
-	ended    bool
-	// sendBy is until when the request must have left; zero for no bound.
+	server        *server
+	class         string
+	output        int
+	prefillTokens float64
+	healthProbe   bool
+	// backoffProbe is set if the run is the first request after its server's
+	// back-off.
+	backoffProbe bool
+	// sentAt is when the request was sent. estimate is the expected time to its
+	// first token at the configured prefill rate; 0: unknown.
+	sentAt    time.Time
+	estimate  time.Duration
+	started   bool
+	startedAt time.Time
+	ended     bool
+	// sendBy is the time by which the request must have been sent; zero: no limit.
 	sendBy time.Time
 }
 
-// SendBy returns until when the request must have left for its server, which is
-// cold; zero for no bound.
+// SendBy returns the time by which the request must have been sent to its server,
+// which is cold; zero: no limit.
 func (r *Run) SendBy() time.Time { return r.sendBy }
 
 // Server returns the id of the run's server.
 func (r *Run) Server() string { return r.server.id }
 
-// Incarnation returns that of the run's server.
+// Incarnation returns the incarnation of the run's server.
 func (r *Run) Incarnation() roster.Incarnation { return r.server.incarnation }
--- a/coordination/admission/run.go
+++ b/coordination/admission/run.go
@@ -7,91 +7,91 @@
 	"goldcrestport/coordination/health"
 )
 
-func (s *State) start(now time.Time, one *server, unread float64, shared []Part) *Run {
-	r := &Run{server: one, unread: unread, sent: now}
-	if one.health.Ejected() {
-		one.health.ProbeSent()
-		r.probe = true
+func (s *State) startRun(now time.Time, srv *server, prefillTokens float64, prefixes []Part) *Run {
+	r := &Run{server: srv, prefillTokens: prefillTokens, sentAt: now}
+	if srv.health.Ejected() {
+		srv.health.ProbeSent()
+		r.healthProbe = true
 	}
-	if one.cold != nil {
-		r.sendBy = s.takeCold(now, one)
+	if srv.cold != nil {
+		r.sendBy = s.takeCold(now, srv)
 	}
-	r.trial = one.backoff.Send(now, s.cfg.Backoff)
-	one.awaiting++
-	one.unread += unread
-	s.use(now, one, shared)
+	r.backoffProbe = srv.backoff.Send(now, s.cfg.Backoff)
+	srv.awaiting++
+	srv.pendingTokens += prefillTokens
+	s.recordPrefixes(now, srv, prefixes)
 	return r
 }
 
-// runTimeGain is the weight of one run in the mean time of runs.
+// runTimeGain is the weight of one run in the mean run time.
 const runTimeGain = 0.02
 
-// Refused notes that the server did not take the run. The server is left alone
-// for a moment, and for longer with each refusal in a row.
+// Refused records that the server did not accept the run. The server gets no
+// requests for a pause, which becomes longer with each consecutive refusal.
 func (s *State) Refused(now time.Time, r *Run) {
-	one := r.server
-	pause := s.cfg.RefusedPause << min(one.refusals, maxRefusals)
-	one.refusals++
-	one.refusedUntil = now.Add(min(pause, s.cfg.RefusedLongest))
+	srv := r.server
+	pause := s.cfg.RefusalPause << min(srv.refusals, maxRefusalDoublings)
+	srv.refusals++
+	srv.refusedUntil = now.Add(min(pause, s.cfg.RefusalPauseMax))
 }
 
-// maxRefusals bounds the doublings of a pause; the longest one is reached
-// before.
-const maxRefusals = 10
+// maxRefusalDoublings limits the number of times that a pause is doubled; the
+// longest pause is reached before.
+const maxRefusalDoublings = 10
 
-// FirstByte notes that the answer of the run began. It reports whether its server,
-// which had asked for no requests, takes all again.
+// FirstByte records that the answer of the run started. It reports whether this
+// ended a back-off of the server.
 func (s *State) FirstByte(now time.Time, r *Run) (resumed bool) {
-	if r.first || r.ended {
+	if r.started || r.ended {
 		return false
 	}
 	r.server.refusals, r.server.refusedUntil = 0, time.Time{}
-	if r.trial {
-		r.trial = false
+	if r.backoffProbe {
+		r.backoffProbe = false
 		resumed = s.backoffOf(r.server).Taken(now)
 	}
-	r.server.pace.observe(now, r.estimate, now.Sub(r.sent))
-	s.begun(now, r)
+	r.server.slowdown.observe(now, r.estimate, now.Sub(r.sentAt))
+	s.markStarted(now, r)
 	return resumed
 }
 
-// begun counts the run as one that is no longer awaited.
-func (s *State) begun(now time.Time, r *Run) {
-	if r.first {
+// markStarted moves the run from the awaiting to the running ones.
+func (s *State) markStarted(now time.Time, r *Run) {
+	if r.started {
 		return
 	}
-	r.first, r.began = true, now
-	r.server.unread -= r.unread
+	r.started, r.startedAt = true, now
+	r.server.pendingTokens -= r.prefillTokens
 	r.server.awaiting--
 	r.server.running++
 }
 
-// Ended notes that the run ended. It reports whether the server was ejected or
-// taken in again.
+// Ended records that the run ended. It reports whether the server was ejected or
+// readmitted.
 func (s *State) Ended(now time.Time, r *Run, result health.Result) (changed bool) {
 	if r.ended {
 		return false
 	}
-	s.begun(now, r)
+	s.markStarted(now, r)
 	r.ended = true
-	if r.trial {
-		r.trial = false
+	if r.backoffProbe {
+		r.backoffProbe = false
 		s.backoffOf(r.server).Ended()
 	}
 	if result == health.Success {
 		p := s.pool(r.server.service)
-		p.runTime += time.Duration(runTimeGain * float64(now.Sub(r.began)-p.runTime))
+		p.runTime += time.Duration(runTimeGain * float64(now.Sub(r.startedAt)-p.runTime))
 	}
 	r.server.running--
 	before := r.server.health.Ejected()
-	s.record(now, r, result)
+	s.recordResult(now, r, result)
 	return r.server.health.Ejected() != before
 }
 
-// Generated notes the tokens of a complete answer.
-func (s *State) Generated(r *Run, tokens int) { s.outputs.learn(r.class, r.output, float64(tokens)) }
+// Generated records the number of tokens of a complete answer.
+func (s *State) Generated(r *Run, tokens int) { s.outputs.observe(r.class, r.output, float64(tokens)) }
 
-// Reported takes the server's own word on its load.
+// Reported takes the load that the server reported.
 func (s *State) Reported(now time.Time, r *Run, load Load) {
 	r.server.load, r.server.loadAt = load, now
 	if load.Slots > 0 {
@@ -99,28 +99,28 @@
 	}
 }
 
-func (s *State) record(now time.Time, r *Run, result health.Result) {
-	one := r.server
-	if !s.blames(now, one, result) {
+func (s *State) recordResult(now time.Time, r *Run, result health.Result) {
+	srv := r.server
+	if !s.countsAgainst(now, srv, result) {
 		result = health.NoResult
 	}
-	if r.probe {
-		one.health.ProbeEnded(now, result)
+	if r.healthProbe {
+		srv.health.ProbeEnded(now, result)
 		return
 	}
-	one.health.Record(result)
-	if one.health.Suspect() && s.mayEject(one) {
-		one.health.Eject(now)
-		one.ejectedAt = now
+	srv.health.Record(result)
+	if srv.health.Suspect() && s.mayEject(srv) {
+		srv.health.Eject(now)
+		srv.ejectedAt = now
 	}
 }
 
-// mayEject bounds the share of ejected servers.
-func (s *State) mayEject(one *server) bool {
-	p := s.pool(one.service)
+// mayEject limits the share of ejected servers.
+func (s *State) mayEject(srv *server) bool {
+	p := s.pool(srv.service)
 	ejected := 1
 	for _, other := range p.servers {
-		if other != one && other.health.Ejected() {
+		if other != srv && other.health.Ejected() {
 			ejected++
 		}
 	}
@@ -130,8 +130,8 @@
 // Ejected returns the ids of the ejected servers, sorted.
 func (s *State) Ejected() []string {
 	var out []string
-	for id, one := range s.servers {
-		if one.health.Ejected() {
+	for id, srv := range s.servers {
+		if srv.health.Ejected() {
 			out = append(out, id)
 		}
 	}
--- a/coordination/admission/server.go
+++ b/coordination/admission/server.go
@@ -11,7 +11,7 @@
 	"goldcrestport/coordination/warmup"
 )
 
-// Load is what a backend server says of itself beside an answer.
+// Load is the load that a backend server reports with an answer.
 type Load struct {
 	Running, Waiting, Slots int
 }
@@ -19,106 +19,107 @@
 // server is one backend server as this router knows it.
 type server struct {
 	id string
-	// incarnation of the process; runs and beliefs are of this one.
+	// incarnation identifies the process; runs and all state here belong to it.
 	incarnation roster.Incarnation
 	// identity names the incarnation.
 	identity string
 	service  string
-	// region of its data centre; empty: unknown.
+	// region is the region of its data centre; empty: unknown.
 	region string
-	// backoff is what it asked this router for.
+	// backoff is the back-off that it requested from this router.
 	backoff *backoff.Server
-	// dataCentre in which it is; empty: unknown.
+	// dataCentre is its data centre; empty: unknown.
 	dataCentre string
-	// ejectedAt is when it was ejected last.
+	// ejectedAt is when it was last ejected.
 	ejectedAt time.Time
-	// cold is what bounds it while it may be cold, else nil.
+	// cold limits the rate of requests while the server may be cold, else nil.
 	cold  *warmup.Server
 	slots int
-	// seed orders the servers for a part. It is of the id: the order is the
-	// same after a restart.
+	// seed determines the server's rank for each prefix. It is derived from the id,
+	// so that the ranks are the same after a restart.
 	seed uint64
-	// number names the incarnation in messages between routers, so that what
-	// they say of an earlier one is not taken for this one's.
+	// number identifies the incarnation in messages between routers, so that
+	// messages on an earlier incarnation are not applied to this one.
 	number ServerID
-	// told is the use that the others know.
-	told   Use
-	health *health.Tracker
-	pace   pace
-	// unread are the prompt tokens that this router sent and that no first
-	// event has answered yet.
-	unread float64
-	// running and awaiting count this router's runs after and before their
+	// lastSent is the in-flight work in the last digest.
+	lastSent Use
+	health   *health.Tracker
+	slowdown slowdown
+	// pendingTokens is the number of prompt tokens that this router sent and that
+	// have had no first event yet.
+	pendingTokens float64
+	// running and awaiting count the runs of this router after and before their
 	// first event.
 	running  int
 	awaiting int
-	// load is the server's own word, as of loadAt.
+	// load is the load that the server reported at loadAt.
 	load   Load
 	loadAt time.Time
-	// refusals counts what the server refused in a row, and refusedUntil is
-	// when it may be asked again.
+	// refusals counts the consecutive refusals of the server. Until refusedUntil it
+	// gets no requests while others accept them.
 	refusals     int
 	refusedUntil time.Time
-	// parts maps a shared part to what is known of its use here.
-	parts map[uint64]partUse
+	// prefixes maps a shared prefix to its use at this server.
+	prefixes map[uint64]prefixUse
 }
 
-// partUse is what is known of a shared part at a server.
-type partUse struct {
-	// used is when the server last read it, announced when a router last
-	// announced so to the others.
+// prefixUse says when a shared prefix was used at a server.
+type prefixUse struct {
+	// used is when the server last prefilled it, announced when a router last
+	// announced that to the others.
 	used, announced time.Time
 }
 
-// rank orders servers for a part: the greatest first. It changes for no other
-// server when one comes or goes.
-func (s *server) rank(part uint64) uint64 {
+// rank orders servers for a prefix, the highest first (rendezvous hashing). When a
+// server is added or removed, no other server's rank changes.
+func (s *server) rank(prefix uint64) uint64 {
 	var b [16]byte
 	for i := range 8 {
-		b[i] = byte(part >> (8 * i))
+		b[i] = byte(prefix >> (8 * i))
 		b[8+i] = byte(s.seed >> (8 * i))
 	}
 	return xxhash.Sum64(b[:])
 }
 
-// holds reports whether the part is believed to be cached.
-func (s *server) holds(now time.Time, part uint64, belief time.Duration) bool {
-	use, known := s.parts[part]
-	return known && now.Sub(use.used) <= belief
+// hasCached reports whether the prefix is assumed to be cached.
+func (s *server) hasCached(now time.Time, prefix uint64, ttl time.Duration) bool {
+	use, known := s.prefixes[prefix]
+	return known && now.Sub(use.used) <= ttl
 }
 
-// maxParts bounds the parts remembered of one server.
-const maxParts = 4096
+// maxPrefixes limits the number of prefixes that are remembered for a server.
+const maxPrefixes = 4096
 
-// use notes that the server reads the part now.
-func (s *server) use(now time.Time, part uint64, belief time.Duration) {
-	if len(s.parts) >= maxParts {
-		s.forget(now, belief)
+// markUsed records that the server prefills the prefix now.
+func (s *server) markUsed(now time.Time, prefix uint64, ttl time.Duration) {
+	if len(s.prefixes) >= maxPrefixes {
+		s.evictExpired(now, ttl)
 	}
-	use, known := s.parts[part]
-	if known || len(s.parts) < maxParts {
+	use, known := s.prefixes[prefix]
+	if known || len(s.prefixes) < maxPrefixes {
 		use.used = now
-		s.parts[part] = use
+		s.prefixes[prefix] = use
 	}
 }
 
-// announce notes that a router announces now that the server holds the part. It
-// reports whether that is due: whether the last time is longer ago than every.
-func (s *server) announce(now time.Time, part uint64, every time.Duration) (due bool) {
-	use, known := s.parts[part]
-	if !known || now.Sub(use.announced) <= every {
+// markAnnounced records that a router announces now that the server has cached the
+// prefix. It reports whether an announcement is due: whether the last one is longer
+// ago than the interval.
+func (s *server) markAnnounced(now time.Time, prefix uint64, interval time.Duration) (due bool) {
+	use, known := s.prefixes[prefix]
+	if !known || now.Sub(use.announced) <= interval {
 		return false
 	}
 	use.announced = now
-	s.parts[part] = use
+	s.prefixes[prefix] = use
 	return true
 }
 
-// forget drops the parts that are not believed to be cached any more.
-func (s *server) forget(now time.Time, belief time.Duration) {
-	for id, use := range s.parts {
-		if now.Sub(use.used) > belief {
-			delete(s.parts, id)
+// evictExpired drops the prefixes that are not assumed to be cached any more.
+func (s *server) evictExpired(now time.Time, ttl time.Duration) {
+	for id, use := range s.prefixes {
+		if now.Sub(use.used) > ttl {
+			delete(s.prefixes, id)
 		}
 	}
 }
--- a/coordination/admission/throttle_test.go
+++ b/coordination/admission/throttle_test.go
@@ -12,13 +12,15 @@
 	"goldcrestport/coordination/health"
 )
 
-// Guards against a team that gets several times as much as another one, whose callers come
-// to routers that cannot deliver its share, because idle servers hold nobody back: what this
-// router sends of it in some seconds is its part of the bound, and no less.
-func TestATeamThatCannotBeDeliveredIsNotOverrun(t *testing.T) {
+// Guards against a team getting several times as much as another one whose callers
+// use routers that cannot deliver its share, while idle servers limit nobody: what
+// this router sends of the former in some seconds is its share of the throttle
+// bound, and no less.
+func TestThrottleProtectsLeastServedTeam(t *testing.T) {
 	narrow, wide := fairshare.IDOf("narrow"), fairshare.IDOf("wide")
-	// sent returns what is sent of the team in four seconds, in which it asks for a million
-	// tokens a second here and as much elsewhere, while others send so much a second.
+	// sent returns the tokens per second that are sent of the team in four seconds,
+	// in which it demands a million tokens per second here and as much at other
+	// routers, while those send gotNarrow and gotWide tokens per second.
 	sent := func(team string, gotNarrow, gotWide float64) float64 {
 		s := engines(50)
 		s.SetRouters(2)
@@ -46,18 +48,20 @@
 		}
 		return tokens / 4
 	}
-	// The share of each is 250,000 a second. Half of what the wide one may get comes here.
+	// The share of each team is 250,000 tokens per second. Half of what the wide one
+	// may get is sent here.
 	far := sent("wide", 50_000, 375_000)
 	qt.Check(t, far > 0.7*125_000 && far < 1.2*125_000, qt.IsTrue, qt.Commentf("the least served gets a fifth of its share: %.0f", far))
 	near := sent("wide", 250_000, 375_000)
 	qt.Check(t, near > 0.7*175_000 && near < 1.2*175_000, qt.IsTrue, qt.Commentf("the least served gets its share: %.0f", near))
-	// The least served itself may catch up with the next.
+	// The least served team itself may catch up with the next.
 	qt.Check(t, sent("narrow", 50_000, 375_000) > 1.5*125_000, qt.IsTrue)
 }
 
-// Guards against a team below its share being refused while one beyond it is sent: alike
-// requests at one moment, whatever teams got and servers have to do.
-func TestNoTeamBelowItsShareIsRefusedForOneBeyondIt(t *testing.T) {
+// Guards against refusing a team below its share while one beyond its share is sent,
+// for the same request at the same time, whatever the teams received and the
+// servers' queues.
+func TestTeamBelowShareIsNotRefusedForOneBeyond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		below := rapid.Float64Range(0, 0.9e6).Draw(t, "below")
 		beyond := rapid.Float64Range(1.1e6, 6e6).Draw(t, "beyond")
