--- a/coordination/admission/run.go
+++ b/coordination/admission/run.go
@@ -26,8 +26,9 @@
 // runTimeGain is the weight of one run in the mean run time.
 const runTimeGain = 0.02
 
-// Refused records that the server did not accept the run. The server gets no
-// requests for a pause, which becomes longer with each consecutive refusal.
+// Refused records that the server did not accept the run. While others accept
+// requests, the server gets none for a pause, which becomes longer with each
+// consecutive refusal.
 func (s *State) Refused(now time.Time, r *Run) {
 	srv := r.server
 	pause := s.cfg.RefusalPause << min(srv.refusals, maxRefusalDoublings)
--- a/coordination/admission/shutdown_fleet_test.go
+++ b/coordination/admission/shutdown_fleet_test.go
@@ -311,8 +311,9 @@
 	return false
 }
 
-// checkRefusal checks that no server was available when the router refused a
-// request: none gets less than it accepts after its back-off, except during a probe.
+// checkRefusal checks that no server accepted requests when the router refused one: a
+// server is left idle only during the back-off that it requested and while a request
+// that probes it is pending.
 func (f *simFleet) checkRefusal(m *simRouter, d Decision) {
 	for id, srv := range m.state.servers {
 		view := m.views[srv.identity]
--- a/coordination/admission/slowdown.go
+++ b/coordination/admission/slowdown.go
@@ -30,27 +30,27 @@
 }
 
 // observe records an estimated time and the time that was observed for it.
-func (p *slowdown) observe(now time.Time, estimated, observed time.Duration) {
+func (s *slowdown) observe(now time.Time, estimated, observed time.Duration) {
 	if estimated < slowdownMinEstimate {
 		return
 	}
-	decay := p.decay(now)
-	p.estimated = p.estimated*decay + float64(estimated)
-	p.observed = p.observed*decay + float64(observed)
-	p.updatedAt = now
+	decay := s.decay(now)
+	s.estimated = s.estimated*decay + float64(estimated)
+	s.observed = s.observed*decay + float64(observed)
+	s.updatedAt = now
 }
 
 // decay returns the fraction of their weight that the observations still have.
-func (p *slowdown) decay(now time.Time) float64 {
-	if p.updatedAt.IsZero() {
+func (s *slowdown) decay(now time.Time) float64 {
+	if s.updatedAt.IsZero() {
 		return 0
 	}
-	return math.Exp(-float64(now.Sub(p.updatedAt)) / float64(slowdownDecay))
+	return math.Exp(-float64(now.Sub(s.updatedAt)) / float64(slowdownDecay))
 }
 
 // factor returns the ratio of observed to estimated time.
-func (p *slowdown) factor(now time.Time) float64 {
-	decay := p.decay(now)
-	ratio := (p.observed*decay + float64(slowdownPrior)) / (p.estimated*decay + float64(slowdownPrior))
+func (s *slowdown) factor(now time.Time) float64 {
+	decay := s.decay(now)
+	ratio := (s.observed*decay + float64(slowdownPrior)) / (s.estimated*decay + float64(slowdownPrior))
 	return min(max(ratio, minSlowdown), maxSlowdown)
 }
