--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -24,13 +24,13 @@
 	numbers map[ServerID]*server
 	pools   map[string]*pool
 	// pendingAnnouncements are the cached prefixes that the next digests announce.
-	pendingAnnouncements []Holding
+	pendingAnnouncements []CachedPrefix
 	// routers is the number of routers that share the servers, at least 1.
 	routers int
 	peers   map[string]*peer
 	// peersInFlight is the sum of the in-flight work that the peers reported, by
 	// server.
-	peersInFlight map[ServerID]Use
+	peersInFlight map[ServerID]InFlight
 	teams         *fairshare.Meter
 	// throttle limits the rates of teams that have received more than the least
 	// served team. throttleUpdated is the time of the team totals that it observed
@@ -69,7 +69,7 @@
 func New(cfg Config) *State {
 	return &State{
 		cfg: cfg, servers: make(map[string]*server), numbers: make(map[ServerID]*server), pools: make(map[string]*pool), routers: 1,
-		peers: make(map[string]*peer), peersInFlight: make(map[ServerID]Use), teams: fairshare.NewMeter(cfg.Window), throttle: throttle.New[fairshare.TeamID](cfg.Throttle), outputs: make(outputShares),
+		peers: make(map[string]*peer), peersInFlight: make(map[ServerID]InFlight), teams: fairshare.NewMeter(cfg.Window), throttle: throttle.New[fairshare.TeamID](cfg.Throttle), outputs: make(outputShares),
 		selfCheck:        selfcheck.New(cfg.SelfCheck),
 		departedBackoffs: make(map[string]*backoff.Server),
 		warmup:           warmup.New(warmup.DefaultConfig(), ""),
@@ -188,7 +188,7 @@
 			continue
 		}
 		if slices.Contains(req.Avoid, srv.id) {
-			excluded.addAvoided(max(srv.refusedUntil.Sub(now), s.cfg.ReturnLeast))
+			excluded.addAvoided(max(srv.refusedUntil.Sub(now), s.cfg.RetryAfterMin))
 			continue
 		}
 		if srv.health.Ejected() && !mayProbe(now, srv, req) {
@@ -243,7 +243,7 @@
 // estimated wait there is within its limit.
 func (s *State) placeEngine(now time.Time, req Request, usable []*server) Decision {
 	team, tokens := fairshare.IDOf(req.Team), s.demand(req)
-	if !req.Sent && !req.Asked {
+	if !req.Sent && !req.Counted {
 		// A request that comes back is counted again: its team still demands what it
 		// did not get, and whether a refused caller comes back cannot be known in
 		// advance.
@@ -266,7 +266,7 @@
 	if !req.Sent {
 		admitted, throttleWait = s.throttle.Admits(now, team)
 	}
-	if (best.wait > limit || !admitted) && !req.Again {
+	if (best.wait > limit || !admitted) && !req.MayHaveRun {
 		d.Verdict, d.Reason, d.Throttled = Refuse, ReasonWait, !admitted
 		d.RetryAfter = s.retryAfter(max(best.wait-limit, throttleWait), !admitted)
 		if best.wait <= limit {
@@ -280,7 +280,7 @@
 		s.teams.Begin(now, team, tokens)
 		s.throttle.Sent(now, team, tokens)
 	}
-	d.Run = s.startRun(now, best.server, best.prefillTokens, req.Shared)
+	d.Run = s.startRun(now, best.server, best.prefillTokens, req.SharedPrefixes)
 	d.Run.class, d.Run.output, d.Run.estimate = req.Class, req.Output, best.estimate
 	return d
 }
@@ -289,7 +289,7 @@
 // callers of a throttled team get different times, so that they do not all come back
 // at once.
 func (s *State) retryAfter(after time.Duration, throttled bool) time.Duration {
-	after = max(after, s.cfg.ReturnLeast)
+	after = max(after, s.cfg.RetryAfterMin)
 	if throttled {
 		after += s.nextSpread()
 	}
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -24,8 +24,8 @@
 	return s
 }
 
-func prompt(tokens int, shared ...Part) Request {
-	return Request{Service: "llm", Class: "c", Prompt: tokens, Output: 100, Shared: shared}
+func prompt(tokens int, shared ...Prefix) Request {
+	return Request{Service: "llm", Class: "c", Prompt: tokens, Output: 100, SharedPrefixes: shared}
 }
 
 func TestConfigErrorNamesField(t *testing.T) {
@@ -74,7 +74,7 @@
 	moved := 0
 	b.Remove("i-3")
 	for prefix := range uint64(200) {
-		req := prompt(6000, Part{ID: prefix * 7919, Tokens: 5000})
+		req := prompt(6000, Prefix{ID: prefix * 7919, Tokens: 5000})
 		first, again := a.Place(epoch, req), a.Place(epoch, req)
 		qt.Assert(t, first.Server, qt.Equals, again.Server)
 		a.Ended(epoch, first.Run, health.Success)
@@ -96,7 +96,7 @@
 	s := engines(12)
 	used := map[string]int{}
 	for range 40 {
-		d := s.Place(epoch, prompt(1000, Part{ID: 5, Tokens: 200}))
+		d := s.Place(epoch, prompt(1000, Prefix{ID: 5, Tokens: 200}))
 		if d.Verdict == Send {
 			used[d.Server]++
 		}
@@ -163,11 +163,11 @@
 	a.SetRouters(2)
 	b.SetRouters(2)
 	a.Place(epoch, prompt(30000))
-	b.Told(epoch, "a", a.Digest(epoch, true, true))
+	b.ReceiveDigest(epoch, "a", a.Digest(epoch, true, true))
 	qt.Check(t, b.Place(epoch, prompt(1000)).Verdict, qt.Equals, Refuse)
-	qt.Check(t, b.PeersAge(epoch.Add(40*time.Millisecond)), qt.Equals, 40*time.Millisecond)
+	qt.Check(t, b.PeerStaleness(epoch.Add(40*time.Millisecond)), qt.Equals, 40*time.Millisecond)
 	b.Tick(epoch.Add(peerTTL + time.Millisecond))
-	qt.Check(t, b.PeersAge(epoch.Add(2*peerTTL)), qt.Equals, time.Duration(0))
+	qt.Check(t, b.PeerStaleness(epoch.Add(2*peerTTL)), qt.Equals, time.Duration(0))
 	qt.Check(t, b.Place(epoch, prompt(1000)).Verdict, qt.Equals, Send)
 
 	alone := engines(1)
@@ -182,13 +182,13 @@
 func TestFullDigestCorrectsLostOne(t *testing.T) {
 	a, b := engines(2), engines(2)
 	run := a.Place(epoch, prompt(5000)).Run
-	b.Told(epoch, "a", a.Digest(epoch, false, false))
+	b.ReceiveDigest(epoch, "a", a.Digest(epoch, false, false))
 	qt.Check(t, b.peersInFlight, qt.HasLen, 1)
 	a.Ended(epoch, run, health.Success)
 	a.Digest(epoch, false, false) // lost
 	qt.Check(t, a.Digest(epoch, false, false).Servers, qt.HasLen, 0)
 	qt.Check(t, b.peersInFlight, qt.HasLen, 1)
-	b.Told(epoch, "a", a.Digest(epoch, true, false))
+	b.ReceiveDigest(epoch, "a", a.Digest(epoch, true, false))
 	qt.Check(t, b.peersInFlight, qt.HasLen, 0)
 }
 
@@ -404,7 +404,7 @@
 		a.teams.Ask(epoch, team, 10000)
 		a.teams.Begin(epoch, team, 10000)
 	}
-	b.Told(epoch, "a", a.Digest(epoch, true, true))
+	b.ReceiveDigest(epoch, "a", a.Digest(epoch, true, true))
 	b.teams.Ask(epoch, fairshare.IDOf("small"), 100)
 	qt.Check(t, b.teams.Standing(epoch, team, b.capacity) > 1, qt.IsTrue)
 }
--- a/coordination/admission/backoff.go
+++ b/coordination/admission/backoff.go
@@ -51,9 +51,9 @@
 func (s *State) refuseUnplaceable(e exclusions) Decision {
 	switch {
 	case e.firstWait == 0, e.firstBacksOff && e.avoidedWait > 0 && e.avoidedWait < e.firstWait:
-		return Decision{Verdict: NoServer, Reason: ReasonNoServer, RetryAfter: s.cfg.ReturnLeast}
+		return Decision{Verdict: NoServer, Reason: ReasonNoServer, RetryAfter: s.cfg.RetryAfterMin}
 	case e.firstIsCold:
-		return Decision{Verdict: Refuse, Reason: ReasonCold, Cold: true, RetryAfter: min(max(e.firstWait, s.cfg.ReturnLeast), s.cfg.RetryAfterMax)}
+		return Decision{Verdict: Refuse, Reason: ReasonCold, Cold: true, RetryAfter: min(max(e.firstWait, s.cfg.RetryAfterMin), s.cfg.RetryAfterMax)}
 	default:
 		return Decision{Verdict: Refuse, Reason: ReasonBackoff, RetryAfter: e.firstWait + s.nextSpread()}
 	}
@@ -70,7 +70,7 @@
 // BackOff records that the server of the run refused it and wants no
 // requests of this router for the given time. It reports whether this starts a
 // back-off.
-func (s *State) BackOff(now time.Time, r *Run, after time.Duration) (started bool) {
+func (s *State) BackoffRequested(now time.Time, r *Run, after time.Duration) (started bool) {
 	r.backoffProbe = false
 	b := s.backoffOf(r.server)
 	if !s.isKnown(r.server) {
--- a/coordination/admission/backoff_test.go
+++ b/coordination/admission/backoff_test.go
@@ -31,7 +31,7 @@
 		qt.Assert(t, d.Verdict, qt.Equals, Send)
 		if d.Server <= "i-2" {
 			qt.Assert(t, now.Before(backoffEnd[d.Server]), qt.IsFalse, qt.Commentf("request %d during the back-off of %s", i, d.Server))
-			s.BackOff(now, d.Run, 3*time.Second)
+			s.BackoffRequested(now, d.Run, 3*time.Second)
 			backoffEnd[d.Server] = now.Add(3 * time.Second)
 			s.Ended(now, d.Run, 0)
 		}
@@ -48,7 +48,7 @@
 	req.Service = "app"
 	for i := range 3 {
 		d := s.Place(now, req)
-		s.BackOff(now, d.Run, time.Duration(4+i)*time.Second)
+		s.BackoffRequested(now, d.Run, time.Duration(4+i)*time.Second)
 		s.Ended(now, d.Run, 0)
 		req.Avoid = append(req.Avoid, d.Server)
 	}
@@ -78,11 +78,11 @@
 func TestRetryTimeIsThatOfFirstAvailableServer(t *testing.T) {
 	s, now := plainFleet(2), epoch
 	first := s.Place(now, Request{Service: "app"})
-	s.BackOff(now, first.Run, time.Minute)
+	s.BackoffRequested(now, first.Run, time.Minute)
 	second := s.Place(now, Request{Service: "app", Avoid: []string{first.Server}})
 	s.Refused(now, second.Run)
 	d := s.Place(now, Request{Service: "app", Avoid: []string{first.Server, second.Server}})
-	qt.Check(t, d.RetryAfter, qt.Equals, s.cfg.ReturnLeast)
+	qt.Check(t, d.RetryAfter, qt.Equals, s.cfg.RetryAfterMin)
 	qt.Check(t, s.HasOther(now, "app", []string{second.Server}), qt.IsFalse)
 	qt.Check(t, s.HasOther(now, "app", []string{first.Server}), qt.IsTrue)
 }
@@ -93,7 +93,7 @@
 	s, now := plainFleet(1), epoch
 	req := Request{Service: "app"}
 	before, refused, alsoRefused := s.Place(now, req), s.Place(now, req), s.Place(now, req)
-	s.BackOff(now, refused.Run, time.Second)
+	s.BackoffRequested(now, refused.Run, time.Second)
 	s.FirstByte(now.Add(time.Millisecond), before.Run)
 	qt.Check(t, s.Place(now.Add(900*time.Millisecond), req).Verdict, qt.Equals, Refuse)
 	now = now.Add(time.Second)
@@ -101,7 +101,7 @@
 	qt.Assert(t, probe.Verdict, qt.Equals, Send)
 	qt.Check(t, probe.SinceBackoff, qt.Equals, time.Second)
 	qt.Check(t, s.Place(now, req).Verdict, qt.Equals, Refuse)
-	s.BackOff(now, alsoRefused.Run, time.Second)
+	s.BackoffRequested(now, alsoRefused.Run, time.Second)
 	qt.Check(t, s.MaySend(now, probe.Run), qt.IsFalse)
 	qt.Check(t, s.FirstByte(now.Add(time.Millisecond), probe.Run), qt.IsFalse)
 	qt.Check(t, s.Place(now.Add(900*time.Millisecond), req).Verdict, qt.Equals, Refuse)
@@ -118,7 +118,7 @@
 	s.Add("i-0", 100, "app", "", 4)
 	req := Request{Service: "app"}
 	d := s.Place(now, req)
-	s.BackOff(now, d.Run, 2*time.Second)
+	s.BackoffRequested(now, d.Run, 2*time.Second)
 	s.Remove("i-0")
 	s.Tick(now.Add(time.Second))
 	s.Add("i-0", 100, "app", "", 4)
@@ -149,7 +149,7 @@
 			s := New(DefaultConfig())
 			s.Add("i-0", 100, "app", "", 4)
 			d, also := s.Place(epoch, Request{Service: "app"}), s.Place(epoch, Request{Service: "app"})
-			steps(s, func() { s.BackOff(epoch, d.Run, time.Second) })
+			steps(s, func() { s.BackoffRequested(epoch, d.Run, time.Second) })
 			qt.Check(t, s.Place(epoch, Request{Service: "app"}).Reason, qt.Equals, ReasonBackoff)
 			qt.Check(t, s.MaySend(epoch, also.Run), qt.IsFalse)
 		})
--- a/coordination/admission/cached_prefixes.go
+++ b/coordination/admission/cached_prefixes.go
@@ -8,9 +8,9 @@
 // which server has a document cached, and would have its prefill repeated elsewhere.
 // So routers announce cached prefixes to each other, each prefix once in half of
 // PrefixTTL.
-type Holding struct {
+type CachedPrefix struct {
 	Server ServerID
-	Part   uint64
+	Prefix uint64
 }
 
 // Limits of announcements.
@@ -25,20 +25,20 @@
 
 // recordPrefixes records that the server prefills the prefixes, and which of them
 // the next digest announces.
-func (s *State) recordPrefixes(now time.Time, srv *server, prefixes []Part) {
+func (s *State) recordPrefixes(now time.Time, srv *server, prefixes []Prefix) {
 	for _, prefix := range prefixes {
 		srv.markUsed(now, prefix.ID, s.cfg.PrefixTTL)
 		if prefix.Tokens < s.cfg.AnnounceTokens*s.routers || len(s.pendingAnnouncements) >= maxPendingAnnouncements {
 			continue
 		}
 		if srv.markAnnounced(now, prefix.ID, s.cfg.PrefixTTL/2) {
-			s.pendingAnnouncements = append(s.pendingAnnouncements, Holding{Server: srv.number, Part: prefix.ID})
+			s.pendingAnnouncements = append(s.pendingAnnouncements, CachedPrefix{Server: srv.number, Prefix: prefix.ID})
 		}
 	}
 }
 
 // takeAnnouncements returns what the next digest announces.
-func (s *State) takeAnnouncements() []Holding {
+func (s *State) takeAnnouncements() []CachedPrefix {
 	if len(s.pendingAnnouncements) == 0 {
 		return nil
 	}
@@ -49,11 +49,11 @@
 }
 
 // receiveAnnouncements takes the announcements of another router.
-func (s *State) receiveAnnouncements(now time.Time, announcements []Holding) {
+func (s *State) receiveAnnouncements(now time.Time, announcements []CachedPrefix) {
 	for _, a := range announcements {
 		if srv := s.numbers[a.Server]; srv != nil {
-			srv.markUsed(now, a.Part, s.cfg.PrefixTTL)
-			srv.markAnnounced(now, a.Part, 0)
+			srv.markUsed(now, a.Prefix, s.cfg.PrefixTTL)
+			srv.markAnnounced(now, a.Prefix, 0)
 		}
 	}
 }
--- a/coordination/admission/cached_prefixes_test.go
+++ b/coordination/admission/cached_prefixes_test.go
@@ -13,7 +13,7 @@
 func TestRoutersAnnounceCachedPrefixes(t *testing.T) {
 	a, b := linked(9), linked(9)
 	run := a.Place(epoch, prompt(6000, document)).Run
-	b.Told(epoch, "a", a.Digest(epoch, false, false))
+	b.ReceiveDigest(epoch, "a", a.Digest(epoch, false, false))
 	b.startRun(epoch, b.servers[run.Server()], 20000, nil)
 	got := b.Place(epoch, prompt(6000, document))
 	qt.Check(t, got.Source, qt.Equals, run.Server())
@@ -26,16 +26,16 @@
 	a, b := linked(1), linked(1)
 	a.SetRouters(10)
 	b.SetRouters(10)
-	place := func(s *State, now time.Time, prefix Part) int {
+	place := func(s *State, now time.Time, prefix Prefix) int {
 		s.FirstByte(now, s.Place(now, prompt(6000, prefix)).Run)
-		return len(s.Digest(now, false, false).Holdings)
+		return len(s.Digest(now, false, false).CachedPrefixes)
 	}
 	qt.Check(t, place(a, epoch, document), qt.Equals, 1)
 	qt.Check(t, place(a, epoch.Add(time.Second), document), qt.Equals, 0)
 	qt.Check(t, place(a, epoch.Add(6*time.Second), document), qt.Equals, 1)
-	qt.Check(t, place(a, epoch, Part{ID: 9, Tokens: 100}), qt.Equals, 0)
+	qt.Check(t, place(a, epoch, Prefix{ID: 9, Tokens: 100}), qt.Equals, 0)
 
-	b.receiveAnnouncements(epoch, []Holding{{Server: b.servers["i-0"].number, Part: document.ID}, {Server: 12345, Part: 1}})
+	b.receiveAnnouncements(epoch, []CachedPrefix{{Server: b.servers["i-0"].number, Prefix: document.ID}, {Server: 12345, Prefix: 1}})
 	qt.Check(t, place(b, epoch.Add(time.Second), document), qt.Equals, 0)
 }
 
@@ -45,11 +45,11 @@
 	s := linked(1)
 	srv := s.servers["i-0"]
 	for id := range uint64(maxPendingAnnouncements + 100) {
-		s.recordPrefixes(epoch, srv, []Part{{ID: id, Tokens: 1000}})
+		s.recordPrefixes(epoch, srv, []Prefix{{ID: id, Tokens: 1000}})
 	}
 	announced := 0
 	for {
-		n := len(s.Digest(epoch, false, false).Holdings)
+		n := len(s.Digest(epoch, false, false).CachedPrefixes)
 		if n == 0 {
 			break
 		}
--- a/coordination/admission/cold_test.go
+++ b/coordination/admission/cold_test.go
@@ -74,7 +74,7 @@
 
 // benchmarkPlace measures decisions whose runs end at once.
 func benchmarkPlace(b *testing.B, s *State, now time.Time) {
-	req := Request{Service: "llm", Prompt: 1000, Output: 10, Shared: []Part{{ID: 7, Tokens: 500}}}
+	req := Request{Service: "llm", Prompt: 1000, Output: 10, SharedPrefixes: []Prefix{{ID: 7, Tokens: 500}}}
 	b.ReportAllocs()
 	for i := range b.N {
 		at := now.Add(time.Duration(i) * time.Millisecond)
--- a/coordination/admission/config.go
+++ b/coordination/admission/config.go
@@ -106,7 +106,7 @@
 	AnnounceTokens int
 	// ReturnLeast and RetryAfterMax limit the time after which a refused caller is
 	// asked to come back. Default 50ms and 2s.
-	ReturnLeast   time.Duration
+	RetryAfterMin time.Duration
 	RetryAfterMax time.Duration
 	// RefusalPause is how long a server that refused a request gets none while
 	// others accept requests. It doubles with each consecutive refusal up to
@@ -151,7 +151,7 @@
 		Window:            4 * time.Second,
 		PrefixTTL:         10 * time.Second,
 		AnnounceTokens:    12,
-		ReturnLeast:       50 * time.Millisecond,
+		RetryAfterMin:     50 * time.Millisecond,
 		RetryAfterMax:     2 * time.Second,
 		RefusalPause:      50 * time.Millisecond,
 		RefusalPauseMax:   time.Second,
@@ -191,7 +191,7 @@
 	check(c.Window > 0, "Window must be positive")
 	check(c.PrefixTTL > 0, "PrefixTTL must be positive")
 	check(c.AnnounceTokens >= 0, "AnnounceTokens must not be negative")
-	check(c.ReturnLeast > 0 && c.RetryAfterMax >= c.ReturnLeast, "RetryAfterMax must be at least ReturnLeast, both positive")
+	check(c.RetryAfterMin > 0 && c.RetryAfterMax >= c.RetryAfterMin, "RetryAfterMax must be at least ReturnLeast, both positive")
 	check(c.RefusalPause > 0 && c.RefusalPauseMax >= c.RefusalPause, "RefusalPauseMax must be at least RefusalPause, both positive")
 	check(c.EjectShare >= 0 && c.EjectShare <= 1, "EjectShare must be in [0, 1]")
 	return err
--- a/coordination/admission/estimate.go
+++ b/coordination/admission/estimate.go
@@ -56,8 +56,8 @@
 func (s *State) candidates(now time.Time, req Request, usable []*server) []candidate {
 	order := usable
 	var source *server
-	if n := len(req.Shared); n > 0 {
-		last := req.Shared[n-1].ID
+	if n := len(req.SharedPrefixes); n > 0 {
+		last := req.SharedPrefixes[n-1].ID
 		source = s.prefixSource(now, req.Service, last, usable)
 		count := s.cfg.Candidates
 		if source != nil {
@@ -84,10 +84,10 @@
 // refused there although its team is within its share: repeating the prefill of its
 // shared prefixes costs less than refusing it.
 func (s *State) widerCandidate(now time.Time, req Request, usable []*server, standing standing) (admissible, bool) {
-	if len(req.Shared) == 0 {
+	if len(req.SharedPrefixes) == 0 {
 		return admissible{}, false
 	}
-	last := req.Shared[len(req.Shared)-1].ID
+	last := req.SharedPrefixes[len(req.SharedPrefixes)-1].ID
 	source := s.prefixSource(now, req.Service, last, usable)
 	var best admissible
 	for i, srv := range topRanked(usable, last, s.cfg.FetchCandidates) {
--- a/coordination/admission/fetch.go
+++ b/coordination/admission/fetch.go
@@ -34,11 +34,11 @@
 	if c.source != nil {
 		return c.source.id
 	}
-	n := len(req.Shared)
+	n := len(req.SharedPrefixes)
 	if n == 0 || s.cfg.FetchCandidates == 0 || s.pool(req.Service).traits.FetchRate == 0 {
 		return ""
 	}
-	last := req.Shared[n-1].ID
+	last := req.SharedPrefixes[n-1].ID
 	preferred := topRanked(usable, last, 1)[0]
 	if preferred == c.server || c.server.hasCached(now, last, s.cfg.PrefixTTL) {
 		return ""
@@ -67,7 +67,7 @@
 // some of them from the source, nil for none.
 func (s *State) splitPrefixes(now time.Time, req Request, srv *server, rank int, source *server) prefixTokens {
 	var out prefixTokens
-	for _, prefix := range req.Shared {
+	for _, prefix := range req.SharedPrefixes {
 		tokens := float64(prefix.Tokens)
 		switch {
 		case srv.hasCached(now, prefix.ID, s.cfg.PrefixTTL):
--- a/coordination/admission/fetch_test.go
+++ b/coordination/admission/fetch_test.go
@@ -17,7 +17,7 @@
 }
 
 // document is a shared prefix of many requests.
-var document = Part{ID: 4711, Tokens: 4870}
+var document = Prefix{ID: 4711, Tokens: 4870}
 
 // Guards against a repeated prefill of a document while the server that has it
 // cached prefills a long prompt: the prefill of 4,870 tokens takes an engine 74 ms,
--- a/coordination/admission/impaired.go
+++ b/coordination/admission/impaired.go
@@ -14,7 +14,7 @@
 }
 
 // SetPeriod sets the time between two digests of another router.
-func (s *State) SetPeriod(period time.Duration) { s.selfCheck.SetPeriod(period) }
+func (s *State) SetGossipPeriod(period time.Duration) { s.selfCheck.SetPeriod(period) }
 
 // SetDataCentre sets the data centre of the server.
 func (s *State) SetDataCentre(id, dataCentre string) {
--- a/coordination/admission/impaired_test.go
+++ b/coordination/admission/impaired_test.go
@@ -21,7 +21,7 @@
 	for range 10 {
 		now = now.Add(100 * time.Millisecond)
 		for i := range routers - 1 {
-			s.Told(now, fmt.Sprint("r-", i), Digest{All: true})
+			s.ReceiveDigest(now, fmt.Sprint("r-", i), Digest{All: true})
 		}
 		s.Tick(now)
 	}
@@ -36,7 +36,7 @@
 	now := epoch
 	s.SetLate(true)
 	for i := range 20 {
-		d := s.Place(now, prompt(1000, Part{ID: uint64(i), Tokens: 100}))
+		d := s.Place(now, prompt(1000, Prefix{ID: uint64(i), Tokens: 100}))
 		qt.Assert(t, d.Verdict, qt.Equals, Send)
 		s.Ended(now, d.Run, health.Unreachable)
 	}
@@ -50,7 +50,7 @@
 		now = now.Add(100 * time.Millisecond)
 		s.Tick(now)
 		for i := range 10 {
-			req := prompt(2000, Part{ID: uint64(1000*sent + i), Tokens: 100})
+			req := prompt(2000, Prefix{ID: uint64(1000*sent + i), Tokens: 100})
 			if d := s.Place(now, req); d.Verdict == Send {
 				sent++
 				s.FirstByte(now, d.Run)
--- a/coordination/admission/incarnation_test.go
+++ b/coordination/admission/incarnation_test.go
@@ -18,11 +18,11 @@
 	s.SetService("llm", Traits{Engine: true, FetchRate: 2500})
 	s.Add("a", 100, "llm", "", 64)
 	before := s.servers["a"]
-	document := Part{ID: 7, Tokens: 5000}
-	d := s.Place(epoch, Request{Service: "llm", Prompt: 9000, Output: 100, Shared: []Part{document}})
+	document := Prefix{ID: 7, Tokens: 5000}
+	d := s.Place(epoch, Request{Service: "llm", Prompt: 9000, Output: 100, SharedPrefixes: []Prefix{document}})
 	qt.Assert(t, d.Verdict, qt.Equals, Send)
-	peers := Digest{All: true, Servers: map[ServerID]Use{before.number: {Unread: 40000, Runs: 20}}, Holdings: []Holding{{Server: before.number, Part: 7}}}
-	s.Told(epoch, "peer", peers)
+	peers := Digest{All: true, Servers: map[ServerID]InFlight{before.number: {Unread: 40000, Runs: 20}}, CachedPrefixes: []CachedPrefix{{Server: before.number, Prefix: 7}}}
+	s.ReceiveDigest(epoch, "peer", peers)
 	before.slowdown.observe(epoch, time.Second, 4*time.Second)
 	before.health.Eject(epoch)
 	s.Refused(epoch, d.Run)
@@ -43,7 +43,7 @@
 	}
 	check()
 	// Late messages on the earlier incarnation change nothing, in any order.
-	s.Told(epoch, "peer", peers)
+	s.ReceiveDigest(epoch, "peer", peers)
 	s.Reported(epoch, d.Run, Load{Running: 60, Waiting: 9, Slots: 64})
 	s.FirstByte(epoch, d.Run)
 	s.Ended(epoch, d.Run, health.Failure)
--- a/coordination/admission/limit.go
+++ b/coordination/admission/limit.go
@@ -46,7 +46,7 @@
 
 // Ask counts a request towards its team's demand and returns its size in
 // tokens, 0 for plain services.
-func (s *State) Ask(now time.Time, req Request) (tokens float64) {
+func (s *State) CountDemand(now time.Time, req Request) (tokens float64) {
 	if !s.pool(req.Service).traits.Engine {
 		return 0
 	}
@@ -77,7 +77,7 @@
 
 // AskUnread counts a request of the team that was refused before it was
 // read.
-func (s *State) AskUnread(now time.Time, team string) {
+func (s *State) CountUnreadDemand(now time.Time, team string) {
 	id := fairshare.IDOf(team)
 	s.throttle.Ask(now, id, s.teams.AskUnread(now, id))
 }
--- a/coordination/admission/peers.go
+++ b/coordination/admission/peers.go
@@ -13,7 +13,7 @@
 type ServerID uint32
 
 // Use is the work that one router has in flight at one server.
-type Use struct {
+type InFlight struct {
 	// Unread is the number of prompt tokens that were sent and have had no
 	// first event yet.
 	Unread float64
@@ -26,21 +26,21 @@
 type Digest struct {
 	// All is set if nothing is in flight at servers that are not listed.
 	All     bool
-	Servers map[ServerID]Use
+	Servers map[ServerID]InFlight
 	// Teams holds the usage of every team, or is nil if it is left out.
 	Teams map[fairshare.TeamID]fairshare.Use
 	// Holdings are the shared prefixes that servers prefilled since the last
 	// digest.
-	Holdings []Holding
+	CachedPrefixes []CachedPrefix
 	// Leaving are the servers that announced their shutdown to the sender
 	// itself.
-	Leaving []ServerID
+	ShuttingDown []ServerID
 }
 
 // peer is what another router sent last.
 type peer struct {
 	receivedAt time.Time
-	inFlight   map[ServerID]Use
+	inFlight   map[ServerID]InFlight
 }
 
 // peerTTL is how long the digest of another router is used. Routers send several
@@ -56,12 +56,12 @@
 // Digest returns what this router sends to the others: the servers whose in-flight
 // work changed since the last digest, or all of them.
 func (s *State) Digest(now time.Time, all, teams bool) Digest {
-	d := Digest{All: all, Servers: make(map[ServerID]Use), Holdings: s.takeAnnouncements()}
+	d := Digest{All: all, Servers: make(map[ServerID]InFlight), CachedPrefixes: s.takeAnnouncements()}
 	if teams {
 		d.Teams = s.teams.Own(now)
 	}
 	for _, srv := range s.servers {
-		inFlight := Use{Unread: srv.pendingTokens, Runs: srv.running + srv.awaiting}
+		inFlight := InFlight{Unread: srv.pendingTokens, Runs: srv.running + srv.awaiting}
 		if all && inFlight.Runs > 0 || !all && inFlight != srv.lastSent {
 			d.Servers[srv.number] = inFlight
 		}
@@ -71,19 +71,19 @@
 }
 
 // Told takes another router's digest.
-func (s *State) Told(now time.Time, router string, d Digest) {
+func (s *State) ReceiveDigest(now time.Time, router string, d Digest) {
 	p := s.peers[router]
 	if p == nil {
-		p = &peer{inFlight: make(map[ServerID]Use)}
+		p = &peer{inFlight: make(map[ServerID]InFlight)}
 		s.peers[router] = p
 	}
 	p.receivedAt = now
 	s.selfCheck.Heard(now, router)
-	s.receiveAnnouncements(now, d.Holdings)
+	s.receiveAnnouncements(now, d.CachedPrefixes)
 	if d.All {
 		for id := range p.inFlight {
 			if _, listed := d.Servers[id]; !listed {
-				s.setPeerInFlight(p, id, Use{})
+				s.setPeerInFlight(p, id, InFlight{})
 			}
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 // Numbered returns the known server with the number.
-func (s *State) Numbered(number ServerID) (id string, incarnation roster.Incarnation, known bool) {
+func (s *State) ServerByNumber(number ServerID) (id string, incarnation roster.Incarnation, known bool) {
 	srv := s.numbers[number]
 	if srv == nil {
 		return "", 0, false
@@ -112,12 +112,12 @@
 
 // setPeerInFlight replaces the peer's in-flight work at a server in the sum over all
 // peers.
-func (s *State) setPeerInFlight(p *peer, id ServerID, inFlight Use) {
+func (s *State) setPeerInFlight(p *peer, id ServerID, inFlight InFlight) {
 	before := p.inFlight[id]
 	sum := s.peersInFlight[id]
 	sum.Unread = max(sum.Unread+inFlight.Unread-before.Unread, 0)
 	sum.Runs += inFlight.Runs - before.Runs
-	if inFlight == (Use{}) {
+	if inFlight == (InFlight{}) {
 		delete(p.inFlight, id)
 	} else {
 		p.inFlight[id] = inFlight
@@ -131,7 +131,7 @@
 
 // PeersAge returns the time since the last digest of the router that has been
 // silent for the longest; 0 without other routers.
-func (s *State) PeersAge(now time.Time) time.Duration {
+func (s *State) PeerStaleness(now time.Time) time.Duration {
 	var oldest time.Duration
 	for _, p := range s.peers {
 		oldest = max(oldest, now.Sub(p.receivedAt))
@@ -153,7 +153,7 @@
 			continue
 		}
 		for id := range p.inFlight {
-			s.setPeerInFlight(p, id, Use{})
+			s.setPeerInFlight(p, id, InFlight{})
 		}
 		delete(s.peers, router)
 	}
--- a/coordination/admission/regions_test.go
+++ b/coordination/admission/regions_test.go
@@ -19,7 +19,7 @@
 			s.Add(id, 0, service, region, 64)
 		}
 		place := func(homes ...[]string) Decision {
-			return s.Place(now, Request{Service: service, Prompt: 100, Output: 10, Homes: homes, Shared: []Part{{ID: 5, Tokens: 90}}})
+			return s.Place(now, Request{Service: service, Prompt: 100, Output: 10, Homes: homes, SharedPrefixes: []Prefix{{ID: 5, Tokens: 90}}})
 		}
 		for range 40 {
 			got := place([]string{"north", "south"}, []string{"south", "west"})
--- a/coordination/admission/request.go
+++ b/coordination/admission/request.go
@@ -7,7 +7,7 @@
 )
 
 // Part is a part of a prompt that other requests may share.
-type Part struct {
+type Prefix struct {
 	ID     uint64
 	Tokens int
 }
@@ -24,7 +24,7 @@
 	Output int
 	// Shared are the parts of the prompt, in order, that other requests may
 	// have in common with it. The request's own last part is not among them.
-	Shared []Part
+	SharedPrefixes []Prefix
 	// Objective is the time within which the first token has its full value; 0:
 	// unknown.
 	Objective time.Duration
@@ -42,10 +42,10 @@
 	Sent bool
 	// Asked is set if the request was counted towards its team's demand when it
 	// came.
-	Asked bool
+	Counted bool
 	// Again is set if a server may have run the request: it is then sent to a
 	// further one whatever the wait.
-	Again bool
+	MayHaveRun bool
 }
 
 // Verdict says what happens to a request.
--- a/coordination/admission/run.go
+++ b/coordination/admission/run.go
@@ -7,7 +7,7 @@
 	"goldcrestport/coordination/health"
 )
 
-func (s *State) startRun(now time.Time, srv *server, prefillTokens float64, prefixes []Part) *Run {
+func (s *State) startRun(now time.Time, srv *server, prefillTokens float64, prefixes []Prefix) *Run {
 	r := &Run{server: srv, prefillTokens: prefillTokens, sentAt: now}
 	if srv.health.Ejected() {
 		srv.health.ProbeSent()
--- a/coordination/admission/server.go
+++ b/coordination/admission/server.go
@@ -42,7 +42,7 @@
 	// messages on an earlier incarnation are not applied to this one.
 	number ServerID
 	// lastSent is the in-flight work in the last digest.
-	lastSent Use
+	lastSent InFlight
 	health   *health.Tracker
 	slowdown slowdown
 	// pendingTokens is the number of prompt tokens that this router sent and that
--- a/coordination/admission/shutdown_fleet_test.go
+++ b/coordination/admission/shutdown_fleet_test.go
@@ -246,7 +246,7 @@
 
 func (f *simFleet) receiveGossip(m *simRouter, numbers []ServerID) {
 	for _, number := range numbers {
-		if id, incarnation, known := m.state.Numbered(number); known {
+		if id, incarnation, known := m.state.ServerByNumber(number); known {
 			f.apply(m, m.roster.Told(f.Now, id, incarnation))
 		}
 	}
@@ -360,7 +360,7 @@
 	}
 	if refuses {
 		requested := f.between(50*time.Millisecond, 4*time.Second)
-		m.state.BackOff(f.Now, run, requested)
+		m.state.BackoffRequested(f.Now, run, requested)
 		if end := f.Now.Add(requested); end.After(view.backoffEnd) {
 			view.backoffEnd = end
 		}
--- a/coordination/admission/throttle_test.go
+++ b/coordination/admission/throttle_test.go
@@ -29,7 +29,7 @@
 		for i := range 6000 {
 			now = now.Add(time.Millisecond)
 			if i%250 == 0 {
-				s.Told(now, "other", Digest{All: true, Teams: map[fairshare.TeamID]fairshare.Use{
+				s.ReceiveDigest(now, "other", Digest{All: true, Teams: map[fairshare.TeamID]fairshare.Use{
 					narrow: {Asked: 4e6, Begun: 4 * gotNarrow, AskedLately: 1e6, BegunLately: gotNarrow},
 					wide:   {Asked: 4e6, Begun: 4 * gotWide, AskedLately: 1e6, BegunLately: gotWide},
 				}})
@@ -71,13 +71,13 @@
 			s := engines(3)
 			s.SetCapacity(500_000)
 			s.SetRouters(2)
-			all := Digest{All: true, Servers: map[ServerID]Use{}, Teams: map[fairshare.TeamID]fairshare.Use{
+			all := Digest{All: true, Servers: map[ServerID]InFlight{}, Teams: map[fairshare.TeamID]fairshare.Use{
 				fairshare.IDOf("below"): {Asked: 8e6, Begun: below}, fairshare.IDOf("beyond"): {Asked: 8e6, Begun: beyond},
 			}}
 			for i := range 3 {
-				all.Servers[NumberOf(fmt.Sprint("i-", i), 0)] = Use{Unread: float64(queue), Runs: queue / 4000}
+				all.Servers[NumberOf(fmt.Sprint("i-", i), 0)] = InFlight{Unread: float64(queue), Runs: queue / 4000}
 			}
-			s.Told(epoch, "other", all)
+			s.ReceiveDigest(epoch, "other", all)
 			req := prompt(tokens)
 			req.Team = team
 			return s.Place(epoch, req).Verdict
--- a/protocol/digest/digest.go
+++ b/protocol/digest/digest.go
@@ -94,7 +94,7 @@
 	if m.Rotation.Late {
 		flags |= flagLate
 	}
-	if len(m.Digest.Leaving) > 0 {
+	if len(m.Digest.ShuttingDown) > 0 {
 		flags |= flagLeaving
 	}
 	if m.PassesOn {
@@ -110,12 +110,12 @@
 	b = append(b, byte(len(name)))
 	b = append(b, name...)
 	b = appendServers(b, m.Digest.Servers)
-	b = appendHoldings(b, m.Digest.Holdings)
+	b = appendHoldings(b, m.Digest.CachedPrefixes)
 	if m.Digest.Teams != nil {
 		b = appendTeams(b, m.Digest.Teams)
 	}
-	if len(m.Digest.Leaving) > 0 {
-		b = appendLeaving(b, m.Digest.Leaving)
+	if len(m.Digest.ShuttingDown) > 0 {
+		b = appendLeaving(b, m.Digest.ShuttingDown)
 	}
 	if m.Changes != nil {
 		b = binary.LittleEndian.AppendUint64(b, m.After)
@@ -130,7 +130,7 @@
 	binary.LittleEndian.PutUint64(b[10:], revision)
 }
 
-func appendServers(b []byte, servers map[admission.ServerID]admission.Use) []byte {
+func appendServers(b []byte, servers map[admission.ServerID]admission.InFlight) []byte {
 	b = binary.LittleEndian.AppendUint16(b, uint16(len(servers)))
 	for id, u := range servers {
 		b = binary.LittleEndian.AppendUint32(b, uint32(id))
@@ -153,11 +153,11 @@
 	return b
 }
 
-func appendHoldings(b []byte, holdings []admission.Holding) []byte {
+func appendHoldings(b []byte, holdings []admission.CachedPrefix) []byte {
 	b = binary.LittleEndian.AppendUint16(b, uint16(len(holdings)))
 	for _, h := range holdings {
 		b = binary.LittleEndian.AppendUint32(b, uint32(h.Server))
-		b = binary.LittleEndian.AppendUint64(b, h.Part)
+		b = binary.LittleEndian.AppendUint64(b, h.Prefix)
 	}
 	return b
 }
@@ -196,7 +196,7 @@
 	if m.Digest.Servers, b, err = readServers(b); err != nil {
 		return m, err
 	}
-	if m.Digest.Holdings, b, err = readHoldings(b); err != nil {
+	if m.Digest.CachedPrefixes, b, err = readHoldings(b); err != nil {
 		return m, err
 	}
 	if flags&flagTeams != 0 {
@@ -205,7 +205,7 @@
 		}
 	}
 	if flags&flagLeaving != 0 {
-		if m.Digest.Leaving, b, err = readLeaving(b); err != nil {
+		if m.Digest.ShuttingDown, b, err = readLeaving(b); err != nil {
 			return m, err
 		}
 	}
@@ -234,14 +234,14 @@
 	return b[:n*size], b[n*size:], n, nil
 }
 
-func readServers(b []byte) (map[admission.ServerID]admission.Use, []byte, error) {
+func readServers(b []byte) (map[admission.ServerID]admission.InFlight, []byte, error) {
 	parts, rest, n, err := counted(b, serverSize)
 	if err != nil {
 		return nil, nil, err
 	}
-	out := make(map[admission.ServerID]admission.Use, n)
+	out := make(map[admission.ServerID]admission.InFlight, n)
 	for ; len(parts) > 0; parts = parts[serverSize:] {
-		out[admission.ServerID(binary.LittleEndian.Uint32(parts))] = admission.Use{
+		out[admission.ServerID(binary.LittleEndian.Uint32(parts))] = admission.InFlight{
 			Unread: unreadUnit * float64(binary.LittleEndian.Uint16(parts[4:])), Runs: int(binary.LittleEndian.Uint16(parts[6:])),
 		}
 	}
@@ -263,15 +263,15 @@
 	return out, rest, nil
 }
 
-func readHoldings(b []byte) ([]admission.Holding, []byte, error) {
+func readHoldings(b []byte) ([]admission.CachedPrefix, []byte, error) {
 	parts, rest, n, err := counted(b, holdingSize)
 	if err != nil || n == 0 {
 		return nil, rest, err
 	}
-	holdings := make([]admission.Holding, n)
+	holdings := make([]admission.CachedPrefix, n)
 	for i := range holdings {
 		p := parts[i*holdingSize:]
-		holdings[i] = admission.Holding{Server: admission.ServerID(binary.LittleEndian.Uint32(p)), Part: binary.LittleEndian.Uint64(p[4:])}
+		holdings[i] = admission.CachedPrefix{Server: admission.ServerID(binary.LittleEndian.Uint32(p)), Prefix: binary.LittleEndian.Uint64(p[4:])}
 	}
 	return holdings, rest, nil
 }
--- a/protocol/digest/digest_test.go
+++ b/protocol/digest/digest_test.go
@@ -13,10 +13,10 @@
 	return Message{
 		Router: "edge-1", Seq: 9, Heard: 4, Revision: 77,
 		Digest: admission.Digest{
-			All:      true,
-			Servers:  map[admission.ServerID]admission.Use{7: {Unread: 12000, Runs: 3}, 9: {Runs: 1}},
-			Teams:    map[fairshare.TeamID]fairshare.Use{4: {Asked: 9000, Begun: 100, AskedLately: 4000, BegunLately: 40, ThrottledLately: 7}},
-			Holdings: []admission.Holding{{Server: 7, Part: 1 << 40}, {Server: 9, Part: 3}},
+			All:            true,
+			Servers:        map[admission.ServerID]admission.InFlight{7: {Unread: 12000, Runs: 3}, 9: {Runs: 1}},
+			Teams:          map[fairshare.TeamID]fairshare.Use{4: {Asked: 9000, Begun: 100, AskedLately: 4000, BegunLately: 40, ThrottledLately: 7}},
+			CachedPrefixes: []admission.CachedPrefix{{Server: 7, Prefix: 1 << 40}, {Server: 9, Prefix: 3}},
 		},
 	}
 }
@@ -26,7 +26,7 @@
 	changes.Digest.All, changes.Digest.Teams = false, nil
 	changes.Changes, changes.After = []byte("what changed"), 76
 	leaving := changes
-	leaving.Digest.Leaving = []admission.ServerID{7, 1 << 31}
+	leaving.Digest.ShuttingDown = []admission.ServerID{7, 1 << 31}
 	for _, m := range []Message{example(), changes, leaving} {
 		got, err := Read(Append(nil, m))
 		qt.Assert(t, err, qt.IsNil)
@@ -49,7 +49,7 @@
 	}
 	passing := example()
 	passing.Changes = []byte{}
-	passing.Digest.Leaving = []admission.ServerID{7}
+	passing.Digest.ShuttingDown = []admission.ServerID{7}
 	bare := Append(nil, passing)
 	for n := range bare {
 		_, err := Read(bare[:n])
@@ -72,6 +72,6 @@
 func TestServersThatLeaveCostAFewBytes(t *testing.T) {
 	m := example()
 	none := len(Append(nil, m))
-	m.Digest.Leaving = []admission.ServerID{7, 9, 11}
+	m.Digest.ShuttingDown = []admission.ServerID{7, 9, 11}
 	qt.Check(t, len(Append(nil, m))-none, qt.Equals, countLength+3*numberSize)
 }
--- a/transport/direct/announced.go
+++ b/transport/direct/announced.go
@@ -100,7 +100,7 @@
 // toldLeaving takes another router's word on servers that leave. The caller holds mu.
 func (r *Router) toldLeaving(router string, servers []admission.ServerID) {
 	for _, number := range servers {
-		if id, incarnation, known := r.admission.Numbered(number); known {
+		if id, incarnation, known := r.admission.ServerByNumber(number); known {
 			r.apply(r.roster.Told(time.Now(), id, incarnation), "said_to", router)
 		}
 	}
--- a/transport/direct/backoff.go
+++ b/transport/direct/backoff.go
@@ -10,7 +10,7 @@
 // for the time. The caller holds mu.
 func (r *Router) backsOff(now time.Time, run *admission.Run, after time.Duration, request string) {
 	r.metrics.backoffs.Add(1)
-	if !r.admission.BackOff(now, run, after) {
+	if !r.admission.BackoffRequested(now, run, after) {
 		return
 	}
 	if allowed, dropped := r.failures.Allow("backoff", now); allowed {
--- a/transport/direct/dialect.go
+++ b/transport/direct/dialect.go
@@ -28,7 +28,7 @@
 	// generate.
 	Prompt, Output int
 	// Shared are the parts of the prompt that other requests may have.
-	Shared []admission.Part
+	Shared []admission.Prefix
 	// LastEvent is the event after which a caller resumes; empty for none.
 	LastEvent string
 }
--- a/transport/direct/dispatch.go
+++ b/transport/direct/dispatch.go
@@ -242,7 +242,7 @@
 func (c *call) returnAfter() time.Duration {
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
-	return max(c.last.Wait, c.r.cfg.Admission.ReturnLeast, c.r.admission.BackoffWait(time.Now(), c.service))
+	return max(c.last.Wait, c.r.cfg.Admission.RetryAfterMin, c.r.admission.BackoffWait(time.Now(), c.service))
 }
 
 // fail answers a request that may have run.
--- a/transport/direct/hear.go
+++ b/transport/direct/hear.go
@@ -86,8 +86,8 @@
 	if !r.fleet.Heard(now, telling.Message{Router: m.Router, DataCentre: m.DataCentre, Seq: m.Seq, PassesOn: m.PassesOn}) {
 		return
 	}
-	r.admission.Told(now, m.Router, m.Digest)
-	r.toldLeaving(m.Router, m.Digest.Leaving)
+	r.admission.ReceiveDigest(now, m.Router, m.Digest)
+	r.toldLeaving(m.Router, m.Digest.ShuttingDown)
 	r.heard[m.Router] = m.Seq
 	if m.Heard == 0 {
 		return
--- a/transport/direct/load.go
+++ b/transport/direct/load.go
@@ -40,7 +40,7 @@
 	r.load.mu.Unlock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.admission.SetPeriod(period)
+	r.admission.SetGossipPeriod(period)
 }
 
 // heard takes what a router of the same data centre told.
--- a/transport/direct/place.go
+++ b/transport/direct/place.go
@@ -11,8 +11,8 @@
 // place asks where the request goes, once more if it was sent before.
 func (c *call) place() admission.Decision {
 	req := admission.Request{
-		Service: c.service, Team: c.team, Class: c.route.Name, Prompt: c.meta.Prompt, Output: c.meta.Output, Shared: c.meta.Shared,
-		Objective: c.route.Objective, Elapsed: c.elapsed, Avoid: c.avoid, Homes: c.homes(), Repeatable: c.route.MayRepeat(), Sent: c.sent > 0, Asked: c.tokens > 0, Again: c.reached > 0,
+		Service: c.service, Team: c.team, Class: c.route.Name, Prompt: c.meta.Prompt, Output: c.meta.Output, SharedPrefixes: c.meta.Shared,
+		Objective: c.route.Objective, Elapsed: c.elapsed, Avoid: c.avoid, Homes: c.homes(), Repeatable: c.route.MayRepeat(), Sent: c.sent > 0, Counted: c.tokens > 0, MayHaveRun: c.reached > 0,
 	}
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
--- a/transport/direct/teams.go
+++ b/transport/direct/teams.go
@@ -11,7 +11,7 @@
 // ask counts the request for its team, whatever becomes of it.
 func (c *call) ask() {
 	c.r.mu.Lock()
-	c.tokens = c.r.admission.Ask(time.Now(), admission.Request{Service: c.service, Team: c.team, Class: c.route.Name, Prompt: c.meta.Prompt, Output: c.meta.Output})
+	c.tokens = c.r.admission.CountDemand(time.Now(), admission.Request{Service: c.service, Team: c.team, Class: c.route.Name, Prompt: c.meta.Prompt, Output: c.meta.Output})
 	c.r.mu.Unlock()
 	if c.tokens > 0 {
 		c.r.teams.Count(func(t *teamuse.Table) { t.Asked(c.team, c.tokens) })
@@ -25,7 +25,7 @@
 	r.teams.Count(func(t *teamuse.Table) { t.Unread(team) })
 	if team != teamuse.Unknown {
 		r.mu.Lock()
-		r.admission.AskUnread(time.Now(), team)
+		r.admission.CountUnreadDemand(time.Now(), team)
 		r.mu.Unlock()
 	}
 }
@@ -39,5 +39,5 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	share, served, level := r.admission.TeamStanding(now, team)
-	return teamlog.Standing{Share: share, Served: served, Level: level, Bound: r.admission.ThrottleBound(), PeersAge: r.admission.PeersAge(now)}
+	return teamlog.Standing{Share: share, Served: served, Level: level, Bound: r.admission.ThrottleBound(), PeersAge: r.admission.PeerStaleness(now)}
 }
--- a/transport/direct/tell.go
+++ b/transport/direct/tell.go
@@ -115,7 +115,7 @@
 	r.mu.Lock()
 	t.addresses()
 	m.Digest = r.admission.Digest(now, all, teams)
-	m.Digest.Leaving = r.leavingServers()
+	m.Digest.ShuttingDown = r.leavingServers()
 	vouch := r.vouch
 	plan := t.plan(now, vouches)
 	m.Changes, m.After = r.passing.take()
--- a/transport/direct/trail.go
+++ b/transport/direct/trail.go
@@ -77,7 +77,7 @@
 func (r *Router) peersAge() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.admission.PeersAge(time.Now())
+	return r.admission.PeerStaleness(time.Now())
 }
 
 // standingDigits is the number of decimals of a standing in a line.
