--- a/coordination/admission/backoff.go
+++ b/coordination/admission/backoff.go
@@ -67,7 +67,7 @@
 	return time.Duration(fraction * float64(retrySpread))
 }
 
-// BackOff records that the server of the run refused it and wants no
+// BackoffRequested records that the server of the run refused it and wants no
 // requests of this router for the given time. It reports whether this starts a
 // back-off.
 func (s *State) BackoffRequested(now time.Time, r *Run, after time.Duration) (started bool) {
--- a/coordination/admission/cached_prefixes.go
+++ b/coordination/admission/cached_prefixes.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Holding says that a server has prefilled a shared prefix.
+// CachedPrefix says that a server has prefilled a shared prefix.
 //
 // Each router sees a small part of the requests. From those alone it seldom knows
 // which server has a document cached, and would have its prefill repeated elsewhere.
--- a/coordination/admission/config.go
+++ b/coordination/admission/config.go
@@ -104,7 +104,7 @@
 	// announce prefixes of 72 tokens or more, and 300 routers those of 3,600 or
 	// more.
 	AnnounceTokens int
-	// ReturnLeast and RetryAfterMax limit the time after which a refused caller is
+	// RetryAfterMin and RetryAfterMax limit the time after which a refused caller is
 	// asked to come back. Default 50ms and 2s.
 	RetryAfterMin time.Duration
 	RetryAfterMax time.Duration
@@ -191,7 +191,7 @@
 	check(c.Window > 0, "Window must be positive")
 	check(c.PrefixTTL > 0, "PrefixTTL must be positive")
 	check(c.AnnounceTokens >= 0, "AnnounceTokens must not be negative")
-	check(c.RetryAfterMin > 0 && c.RetryAfterMax >= c.RetryAfterMin, "RetryAfterMax must be at least ReturnLeast, both positive")
+	check(c.RetryAfterMin > 0 && c.RetryAfterMax >= c.RetryAfterMin, "RetryAfterMax must be at least RetryAfterMin, both positive")
 	check(c.RefusalPause > 0 && c.RefusalPauseMax >= c.RefusalPause, "RefusalPauseMax must be at least RefusalPause, both positive")
 	check(c.EjectShare >= 0 && c.EjectShare <= 1, "EjectShare must be in [0, 1]")
 	return err
--- a/coordination/admission/impaired.go
+++ b/coordination/admission/impaired.go
@@ -13,7 +13,7 @@
 	s.teams.SetLate(late)
 }
 
-// SetPeriod sets the time between two digests of another router.
+// SetGossipPeriod sets the time between two digests of another router.
 func (s *State) SetGossipPeriod(period time.Duration) { s.selfCheck.SetPeriod(period) }
 
 // SetDataCentre sets the data centre of the server.
--- a/coordination/admission/limit.go
+++ b/coordination/admission/limit.go
@@ -44,7 +44,7 @@
 	return bound
 }
 
-// Ask counts a request towards its team's demand and returns its size in
+// CountDemand counts a request towards its team's demand and returns its size in
 // tokens, 0 for plain services.
 func (s *State) CountDemand(now time.Time, req Request) (tokens float64) {
 	if !s.pool(req.Service).traits.Engine {
@@ -75,7 +75,7 @@
 	s.throttle.Observe(at, s.teams.Share(), teams)
 }
 
-// AskUnread counts a request of the team that was refused before it was
+// CountUnreadDemand counts a request of the team that was refused before it was
 // read.
 func (s *State) CountUnreadDemand(now time.Time, team string) {
 	id := fairshare.IDOf(team)
--- a/coordination/admission/peers.go
+++ b/coordination/admission/peers.go
@@ -12,10 +12,10 @@
 // ServerID identifies an incarnation of a server in messages between routers.
 type ServerID uint32
 
-// Use is the work that one router has in flight at one server.
+// InFlight is the work that one router has in flight at one server.
 type InFlight struct {
-	// Unread is the number of prompt tokens that were sent and have had no
-	// first event yet.
+	// Unread is the number of prompt tokens that were sent and have had no first
+	// event yet.
 	Unread float64
 	// Runs is the number of requests that have not ended.
 	Runs int
@@ -29,10 +29,10 @@
 	Servers map[ServerID]InFlight
 	// Teams holds the usage of every team, or is nil if it is left out.
 	Teams map[fairshare.TeamID]fairshare.Use
-	// Holdings are the shared prefixes that servers prefilled since the last
+	// CachedPrefixes are the shared prefixes that servers prefilled since the last
 	// digest.
 	CachedPrefixes []CachedPrefix
-	// Leaving are the servers that announced their shutdown to the sender
+	// ShuttingDown are the servers that announced their shutdown to the sender
 	// itself.
 	ShuttingDown []ServerID
 }
@@ -70,7 +70,7 @@
 	return d
 }
 
-// Told takes another router's digest.
+// ReceiveDigest takes another router's digest.
 func (s *State) ReceiveDigest(now time.Time, router string, d Digest) {
 	p := s.peers[router]
 	if p == nil {
@@ -101,7 +101,7 @@
 	return ServerID(xxhash.Sum64String(roster.Identity(id, incarnation)))
 }
 
-// Numbered returns the known server with the number.
+// ServerByNumber returns the known server with the number.
 func (s *State) ServerByNumber(number ServerID) (id string, incarnation roster.Incarnation, known bool) {
 	srv := s.numbers[number]
 	if srv == nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-// PeersAge returns the time since the last digest of the router that has been
+// PeerStaleness returns the time since the last digest of the router that has been
 // silent for the longest; 0 without other routers.
 func (s *State) PeerStaleness(now time.Time) time.Duration {
 	var oldest time.Duration
--- a/coordination/admission/request.go
+++ b/coordination/admission/request.go
@@ -6,7 +6,7 @@
 	"goldcrestport/coordination/roster"
 )
 
-// Part is a part of a prompt that other requests may share.
+// Prefix is a part of a prompt that other requests may share.
 type Prefix struct {
 	ID     uint64
 	Tokens int
@@ -22,7 +22,7 @@
 	Prompt int
 	// Output is the maximum number of tokens to generate.
 	Output int
-	// Shared are the parts of the prompt, in order, that other requests may
+	// SharedPrefixes are the parts of the prompt, in order, that other requests may
 	// have in common with it. The request's own last part is not among them.
 	SharedPrefixes []Prefix
 	// Objective is the time within which the first token has its full value; 0:
@@ -33,17 +33,17 @@
 	Elapsed time.Duration
 	// Avoid names servers at which the request already failed.
 	Avoid []string
-	// Homes are lists of regions; the request may only go to servers whose
-	// region is in each of them.
+	// Homes are lists of regions; the request may only go to servers whose region is
+	// in each of them.
 	Homes [][]string
 	// Repeatable is set if the request may run more than once.
 	Repeatable bool
 	// Sent is set if the request was sent before and is already counted.
 	Sent bool
-	// Asked is set if the request was counted towards its team's demand when it
+	// Counted is set if the request was counted towards its team's demand when it
 	// came.
 	Counted bool
-	// Again is set if a server may have run the request: it is then sent to a
+	// MayHaveRun is set if a server may have run the request: it is then sent to a
 	// further one whatever the wait.
 	MayHaveRun bool
 }
@@ -74,8 +74,8 @@
 	Limit time.Duration
 	// RetryAfter is the time after which a refused caller should come back.
 	RetryAfter time.Duration
-	// Unread is the number of the request's own prompt tokens that the server
-	// would prefill.
+	// Unread is the number of the request's own prompt tokens that the server would
+	// prefill.
 	Unread int
 	// QueueTokens and QueueRuns are the estimated numbers of prompt tokens and of
 	// generations that the server had before this request.
