--- a/coordination/admission/homes_test.go
+++ b/coordination/admission/regions_test.go
@@ -7,10 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A route and a team are both bound to regions, beside regions that are lost: only
-// servers of a region in both lists get the request, however long the wait there,
-// and without one it is refused at once.
-func TestRequestsStayInTheirHomes(t *testing.T) {
+// A route and a team are both restricted to regions: only servers of a region in
+// both lists get the request, however long the wait there. If there is none, the
+// request is refused at once.
+func TestRequestsStayInAllowedRegions(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, service := range []string{"llm", "app"} {
 		s := New(DefaultConfig())
@@ -19,7 +19,7 @@
 			s.Add(id, 0, service, region, 64)
 		}
 		place := func(homes ...[]string) Decision {
-			return s.Place(now, Request{Service: service, Prompt: 100, Output: 10, Homes: homes, Shared: []Part{{ID: 5, Tokens: 90}}})
+			return s.Place(now, Request{Service: service, Prompt: 100, Output: 10, Homes: homes, SharedPrefixes: []Prefix{{ID: 5, Tokens: 90}}})
 		}
 		for range 40 {
 			got := place([]string{"north", "south"}, []string{"south", "west"})
