--- a/coordination/inflight/inflight.go
+++ b/coordination/inflight/inflight.go
@@ -1,14 +1,14 @@
-// Package inflight decides how long an attempt at a backend server is left alone: until its
+// Package inflight decides how long an attempt at a backend server may go on: until its
 // answer, or until it must be revoked, so that no byte of it arrives later.
 //
-// The pattern that it answers: the path to a server holds what was sent. Whoever gives the
-// attempt up has decided nothing about those bytes, which arrive when the path is whole again,
-// at a server that may have left meanwhile. So an attempt has an owner until its last byte
-// cannot arrive any more. Two things speak for an attempt: its bytes are acknowledged one
-// after the other, and its server is heard. Silence alone speaks against none: an engine may
-// think for seconds before its first token.
+// The network path to a server may buffer what was sent. A router that merely abandons an
+// attempt does not recall those bytes: they arrive when the path recovers, at a server that
+// may have shut down meanwhile. So an attempt is watched until its last byte cannot arrive any
+// more. Two things show that an attempt is alive: its bytes are acknowledged one after the
+// other, and messages arrive from its server. Silence alone is no reason to revoke it: an
+// engine may compute for seconds before its first token.
 //
-// An Attempt is pure. Direct routers use it, through transport/backend.
+// An Attempt does no I/O and reads no clock. Direct routers use it, through transport/backend.
 package inflight
 
 import (
@@ -17,32 +17,32 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config holds the bounds of attempts.
+// Config holds the time limits of attempts.
 type Config struct {
-	// Stall is the time without progress after which an attempt with bytes on their way is
+	// Stall is the time without progress after which an attempt with unacknowledged bytes is
 	// revoked. Default 1s: a packet is sent three times by then.
 	Stall time.Duration
-	// LeavingStall is the same at a server that is known to leave. Default 250ms: one
-	// packet lost and sent again.
-	LeavingStall time.Duration
-	// Silence is the time from when a server is known to leave in which it must be heard,
-	// or attempts there are revoked. Default 1s: half of the users' shortest
-	// bound on requests that reach a server after its leaving.
+	// DrainingStall replaces Stall at a server that is known to be shutting down. Default
+	// 250ms: one packet lost and sent again.
+	DrainingStall time.Duration
+	// Silence is the time after a server is known to be shutting down in which a message must
+	// arrive from it, or unanswered attempts there are revoked. Default 1s: half of the users'
+	// shortest bound on requests that reach a server after its shutdown.
 	Silence time.Duration
-	// Dead is the same for answers that have begun: a server's silence alone is no reason to
-	// end one, and the store drops the entry of a server that is dead. Default 5s.
+	// Dead is the same for answers that have started: the silence of a running server is no
+	// reason to end one, and the store drops the entry of a server that is dead. Default 5s.
 	Dead time.Duration
-	// Way bounds the time that an answer takes on its way. What is heard so soon after an
-	// attempt was sent does not speak for it. Default 100ms.
-	Way time.Duration
-	// Gap is the longest time between two looks that counts: a router that did not run has
-	// seen no want of progress. Default 300ms.
-	Gap time.Duration
+	// TransitTime bounds the network delay of an answer. A message that arrives within this
+	// time after an attempt was sent does not show that the attempt is alive. Default 100ms.
+	TransitTime time.Duration
+	// MaxGap is the longest time between two observations that counts as time without
+	// progress: a router that was not scheduled in between could not see any. Default 300ms.
+	MaxGap time.Duration
 }
 
 // DefaultConfig returns the documented defaults.
 func DefaultConfig() Config {
-	return Config{Stall: time.Second, LeavingStall: 250 * time.Millisecond, Silence: time.Second, Dead: 5 * time.Second, Way: 100 * time.Millisecond, Gap: 300 * time.Millisecond}
+	return Config{Stall: time.Second, DrainingStall: 250 * time.Millisecond, Silence: time.Second, Dead: 5 * time.Second, TransitTime: 100 * time.Millisecond, MaxGap: 300 * time.Millisecond}
 }
 
 // Validate returns an error that names each field out of range.
@@ -54,107 +54,107 @@
 		}
 	}
 	check(c.Stall > 0, "Stall must be positive")
-	check(c.LeavingStall > 0 && c.LeavingStall <= c.Stall, "LeavingStall must lie in (0, Stall]")
+	check(c.DrainingStall > 0 && c.DrainingStall <= c.Stall, "DrainingStall must be in (0, Stall]")
 	check(c.Silence > 0, "Silence must be positive")
 	check(c.Dead >= c.Silence, "Dead must be at least Silence")
-	check(c.Way >= 0, "Way must not be negative")
-	check(c.Gap > 0 && c.Gap < c.Stall, "Gap must lie in (0, Stall)")
+	check(c.TransitTime >= 0, "TransitTime must not be negative")
+	check(c.MaxGap > 0 && c.MaxGap < c.Stall, "MaxGap must be in (0, Stall)")
 	return err
 }
 
-// Verdict is what becomes of an attempt.
+// Verdict is the decision on an attempt.
 type Verdict int
 
-// Verdicts.
 const (
-	// Keep: it goes on.
+	// Keep: the attempt goes on.
 	Keep Verdict = iota
-	// Stalled: revoke it, what was sent makes no progress.
+	// Stalled: revoke the attempt, as its bytes make no progress.
 	Stalled
-	// ServerLeft: revoke it, its server leaves and is silent.
+	// ServerLeft: revoke the attempt, as its server is shutting down or gone and sends
+	// nothing.
 	ServerLeft
 )
 
-// Look is what is seen of an attempt at a moment.
+// Look is an observation of an attempt at one time.
 type Look struct {
-	// Pending is the number of bytes that the other end has not acknowledged, those that
-	// are not written yet with them.
+	// Pending is the number of bytes that the peer has not acknowledged, including those not
+	// written yet.
 	Pending int
-	// Answered tells that the answer has begun.
+	// Answered is set if the answer has started.
 	Answered bool
-	// Heard is when the server was heard last, on any connection; zero: never.
+	// Heard is when the last message arrived from the server, on any connection; zero: never.
 	Heard time.Time
-	// Left is since when the server is known to leave or to be gone; zero: it is not.
+	// Left is since when the server is known to be shutting down or gone; zero: it is not.
 	Left time.Time
 }
 
 // Attempt is one attempt whose first byte was written. It must be used by one goroutine at a
 // time.
 type Attempt struct {
-	cfg   *Config
-	began time.Time
-	// looked is the time of the last look, pending what was on its way then.
-	looked  time.Time
-	pending int
-	// still is the time for which nothing more was acknowledged.
-	still time.Duration
+	cfg       *Config
+	startedAt time.Time
+	// lastObserved is the time of the last observation, pending the unacknowledged bytes then.
+	lastObserved time.Time
+	pending      int
+	// stalled is the time without a further acknowledgement.
+	stalled time.Duration
 }
 
-// Begin returns an attempt of so many bytes whose first one is written now. The config must
-// be valid, and is the caller's to keep as it is.
+// Begin returns an attempt of size bytes whose first one is written now. The config must be
+// valid, and the caller must not change it.
 func Begin(cfg *Config, now time.Time, size int) Attempt {
-	return Attempt{cfg: cfg, began: now, looked: now, pending: size}
+	return Attempt{cfg: cfg, startedAt: now, lastObserved: now, pending: size}
 }
 
-// Look takes what is seen of the attempt and returns what becomes of it.
+// Look takes an observation of the attempt and returns the decision.
 func (a *Attempt) Look(now time.Time, l Look) Verdict {
 	a.progress(now, l.Pending)
 	switch {
-	case l.Pending > 0 && a.still >= a.patience(l):
+	case l.Pending > 0 && a.stalled >= a.stallLimit(l):
 		return Stalled
 	case l.Pending > 0:
 		return Keep
 	case l.Answered && silence(now, l.Left, l.Heard) >= a.cfg.Dead:
 		return ServerLeft
-	case !l.Answered && a.isForsaken(now, l):
+	case !l.Answered && a.isAbandoned(now, l):
 		return ServerLeft
 	default:
 		return Keep
 	}
 }
 
-// progress counts the time without any.
+// progress accumulates the time without progress.
 func (a *Attempt) progress(now time.Time, pending int) {
 	if pending < a.pending || pending == 0 {
-		a.still = 0
+		a.stalled = 0
 	} else {
-		a.still += min(now.Sub(a.looked), a.cfg.Gap)
+		a.stalled += min(now.Sub(a.lastObserved), a.cfg.MaxGap)
 	}
-	a.looked, a.pending = now, pending
+	a.lastObserved, a.pending = now, pending
 }
 
-// patience is how long bytes may make no progress.
-func (a *Attempt) patience(l Look) time.Duration {
+// stallLimit is how long unacknowledged bytes may make no progress.
+func (a *Attempt) stallLimit(l Look) time.Duration {
 	if l.Left.IsZero() {
 		return a.cfg.Stall
 	}
-	return a.cfg.LeavingStall
+	return a.cfg.DrainingStall
 }
 
-// isForsaken reports whether the server leaves and nothing speaks for the attempt: nothing
-// was heard of the server since it was sent.
-func (a *Attempt) isForsaken(now time.Time, l Look) bool {
-	if l.Heard.After(a.began.Add(a.cfg.Way)) {
+// isAbandoned reports whether the server is shutting down and no message has arrived from it
+// since the attempt was sent.
+func (a *Attempt) isAbandoned(now time.Time, l Look) bool {
+	if l.Heard.After(a.startedAt.Add(a.cfg.TransitTime)) {
 		return false
 	}
-	return silence(now, l.Left, a.began) >= a.cfg.Silence
+	return silence(now, l.Left, a.startedAt) >= a.cfg.Silence
 }
 
-// silence is the time since a server is known to leave and since the other moment, whichever
-// is shorter; 0 for one that is not known to leave.
-func silence(now, left, other time.Time) time.Duration {
-	if left.IsZero() {
+// silence returns the time since a server is known to be shutting down or since the other
+// time, whichever is shorter; 0 if it is not shutting down.
+func silence(now, drainingSince, other time.Time) time.Duration {
+	if drainingSince.IsZero() {
 		return 0
 	}
-	return min(now.Sub(left), now.Sub(other))
+	return min(now.Sub(drainingSince), now.Sub(other))
 }
--- a/coordination/inflight/model_test.go
+++ b/coordination/inflight/model_test.go
@@ -9,61 +9,63 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The model: routers send requests to servers over links that hold what is sent, in the
-// sender's kernel or acknowledged, and heal; servers leave; routers know of it after a while,
-// each at its own time. Virtual time; the product's decision.
+// The simulation: routers send requests to servers over links that buffer what is sent, either
+// unacknowledged in the sender's kernel or acknowledged, and later deliver it; servers shut
+// down; each router is informed of that after a delay of its own. Time is virtual, and the
+// decisions are those of Attempt.
 
-// bound is the users' shortest on requests that reach a server after its leaving, and heard
-// the longest time in which a router in time hears of it.
+// bound is the users' shortest bound on requests that reach a server after its shutdown, and
+// maxNotice the longest time until a connected router is informed of a shutdown.
 const (
-	bound = 2 * time.Second
-	heard = 800 * time.Millisecond
+	bound     = 2 * time.Second
+	maxNotice = 800 * time.Millisecond
 )
 
-// world is one draw of the model for one link and its server.
-type world struct {
-	holds, heals time.Duration
-	acknowledges bool
-	// left is when the server leaves, known when the router knows.
-	left, known time.Duration
+// scenario is one random case: a link and its server.
+type scenario struct {
+	blocksAt, recoversAt time.Duration
+	acknowledges         bool
+	// left is when the server shuts down, and known when the router is informed of it.
+	shutdownAt, noticedAt time.Duration
 	// answers is how long the server takes for an answer.
-	answers time.Duration
+	answerTime time.Duration
 }
 
-func draw(r *rand.Rand) world {
+func draw(r *rand.Rand) scenario {
 	between := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(r.Int64N(int64(most-least)))
 	}
-	w := world{holds: between(0, 5*time.Second), acknowledges: r.IntN(2) == 0, left: between(0, 10*time.Second), answers: between(5*time.Millisecond, 6*time.Second)}
-	w.heals = w.holds + between(100*time.Millisecond, 8*time.Second)
-	w.known = w.left + between(10*time.Millisecond, heard)
+	w := scenario{blocksAt: between(0, 5*time.Second), acknowledges: r.IntN(2) == 0, shutdownAt: between(0, 10*time.Second), answerTime: between(5*time.Millisecond, 6*time.Second)}
+	w.recoversAt = w.blocksAt + between(100*time.Millisecond, 8*time.Second)
+	w.noticedAt = w.shutdownAt + between(10*time.Millisecond, maxNotice)
 	return w
 }
 
-// arrival is when what was sent at the moment reaches the server, if it is not revoked.
-func (w world) arrival(sent time.Duration) time.Duration {
-	if sent >= w.holds && sent < w.heals {
-		return w.heals
+// arrival returns when a request sent at the given time reaches the server, if it is not
+// revoked.
+func (w scenario) arrival(sent time.Duration) time.Duration {
+	if sent >= w.blocksAt && sent < w.recoversAt {
+		return w.recoversAt
 	}
 	return sent
 }
 
-// look is what the router sees of an attempt at the moment.
-func (w world) look(sent, now time.Duration) Look {
+// look returns what the router observes of an attempt at the given time.
+func (w scenario) look(sent, now time.Duration) Look {
 	arrived := now >= w.arrival(sent)
-	l := Look{Answered: arrived && now >= w.arrival(sent)+w.answers}
+	l := Look{Answered: arrived && now >= w.arrival(sent)+w.answerTime}
 	if !arrived && !w.acknowledges {
 		l.Pending = 1
 	}
-	if now >= w.known {
-		l.Left = after(w.known)
+	if now >= w.noticedAt {
+		l.Left = after(w.noticedAt)
 	}
 	return l
 }
 
-// reaches follows an attempt until it is revoked, answered or past its limit, and returns when
+// reaches follows an attempt until it is revoked, answered or past its limit. It returns when
 // its request reaches the server, and whether it does.
-func (w world) reaches(sent, limit, phase time.Duration) (time.Duration, bool) {
+func (w scenario) reaches(sent, limit, phase time.Duration) (time.Duration, bool) {
 	a := Begin(&defaults, after(sent), 1)
 	for now := sent + phase; now < sent+limit; now += every {
 		if v := a.Look(after(now), w.look(sent, now)); v == Stalled || v == ServerLeft {
@@ -73,29 +75,30 @@
 	return w.arrival(sent), w.arrival(sent) <= sent+limit
 }
 
-// Pattern: a fleet of 3 to 300 routers, a path from each to a server that holds and heals, and
-// servers that leave, by the store. No request that was sent before its router knew reaches a
-// server later than the bound after that was known, and none later than a second after bytes
-// that lie still could have been revoked. A fleet that revokes nothing breaks it in each size.
-func TestNothingArrivesLaterThanTheBoundAfterALeaving(t *testing.T) {
+// Guards against requests that reach a server long after its shutdown, because a network path
+// blocked and later delivered them. Fleets of 3 to 300 routers, each with a path to a server
+// that blocks and recovers, and servers that shut down according to the store. No request sent
+// before its router knew of the shutdown may reach the server later than the bound after that.
+// A fleet that revokes nothing fails at each size.
+func TestNothingArrivesLongAfterShutdown(t *testing.T) {
 	for _, routers := range []int{3, 30, 103, 300} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			r := rand.New(rand.NewPCG(uint64(routers), 48))
-			late, unowned := 0, 0
+			late, lateIfKept := 0, 0
 			for range routers * 200 {
 				w := draw(r)
-				sent := time.Duration(r.Int64N(int64(w.known)))
+				sent := time.Duration(r.Int64N(int64(w.noticedAt)))
 				limit := time.Duration(1+r.IntN(15)) * time.Second
 				phase := time.Duration(r.Int64N(int64(every)))
-				if at, does := w.reaches(sent, limit, phase); does && at > w.known+bound {
+				if at, does := w.reaches(sent, limit, phase); does && at > w.noticedAt+bound {
 					late++
 				}
-				if at := w.arrival(sent); at > w.known+bound {
-					unowned++
+				if at := w.arrival(sent); at > w.noticedAt+bound {
+					lateIfKept++
 				}
 			}
 			qt.Check(t, late, qt.Equals, 0)
-			qt.Check(t, unowned > 0, qt.IsTrue)
+			qt.Check(t, lateIfKept > 0, qt.IsTrue)
 		})
 	}
 }
