--- a/coordination/report/report_test.go
+++ b/coordination/report/report_test.go
@@ -15,8 +15,8 @@
 
 func room(free int) report.Changed { return report.Changed{Room: report.Room{Slots: 8, Free: free}} }
 
-// joined returns a state with n routers, at rest.
-func joined(n int) (*report.State, time.Time) {
+// connected returns a state with n routers and no reports due.
+func connected(n int) (*report.State, time.Time) {
 	s := report.New(report.DefaultConfig())
 	for i := range n {
 		s.Step(epoch, report.Joined{Router: fmt.Sprint(i)})
@@ -29,24 +29,24 @@
 	return s, now
 }
 
-func TestConfigNamesWhatIsOutOfRange(t *testing.T) {
+func TestValidateNamesInvalidField(t *testing.T) {
 	qt.Assert(t, report.DefaultConfig().Validate(), qt.IsNil)
 	qt.Assert(t, report.Config{}.Validate(), qt.ErrorMatches, "PerSecond must be positive")
 }
 
-func TestFewRoutersHearAtOnce(t *testing.T) {
+func TestFewRoutersAreUpdatedAtOnce(t *testing.T) {
 	c := qt.New(t)
-	s, now := joined(3)
-	c.Assert(s.Step(now, room(4)), qt.HasLen, 3, qt.Commentf("from none to some"))
-	c.Assert(s.Step(now, room(3)), qt.HasLen, 0, qt.Commentf("still some"))
-	c.Assert(s.Step(now, room(0)), qt.HasLen, 3, qt.Commentf("from some to none"))
+	s, now := connected(3)
+	c.Assert(s.Step(now, room(4)), qt.HasLen, 3, qt.Commentf("from no free slot to some"))
+	c.Assert(s.Step(now, room(3)), qt.HasLen, 0, qt.Commentf("some slots still free"))
+	c.Assert(s.Step(now, room(0)), qt.HasLen, 3, qt.Commentf("from some free slots to none"))
 	c.Assert(s.Step(now.Add(time.Second/2), report.Ticked{}), qt.HasLen, 0)
-	c.Assert(s.Step(now.Add(time.Second), report.Ticked{}), qt.HasLen, 3, qt.Commentf("beat"))
+	c.Assert(s.Step(now.Add(time.Second), report.Ticked{}), qt.HasLen, 3, qt.Commentf("refresh"))
 }
 
-func TestManyRoutersStayWithinTheBudget(t *testing.T) {
+func TestReportsToManyRoutersStayWithinBudget(t *testing.T) {
 	c := qt.New(t)
-	s, now := joined(800)
+	s, now := connected(800)
 	sent, last := 0, map[string]time.Time{}
 	longest := time.Duration(0)
 	const seconds = 60
@@ -65,32 +65,32 @@
 	c.Assert(longest < 40*time.Second, qt.IsTrue, qt.Commentf("%v", longest))
 }
 
-func TestLeavingIsToldAtOnceWhateverTheBudget(t *testing.T) {
+func TestUrgentReportsIgnoreBudget(t *testing.T) {
 	for name, ev := range map[string]report.Event{
 		"leaving":   report.Changed{Room: report.Room{Leaving: true}},
 		"ejected":   report.Changed{Room: report.Room{Ejected: true}},
 		"announced": report.Announced{},
 	} {
-		s, now := joined(800)
+		s, now := connected(800)
 		qt.Assert(t, s.Step(now, ev), qt.HasLen, 800, qt.Commentf(name))
 	}
 }
 
-// Whatever happens: nobody is told twice in one step, only connected routers
-// are told, and after a quiet while all of them know whether there is room.
-func TestEveryRouterLearnsInTheEnd(t *testing.T) {
+// For any sequence of events: no router is sent two reports in one step, only connected
+// routers are sent any, and after an idle period all of them know whether slots are free.
+func TestEveryRouterIsEventuallyUpdated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := report.New(report.Config{PerSecond: 5, Burst: 3, Beat: time.Second})
+		s := report.New(report.Config{PerSecond: 5, Burst: 3, RefreshInterval: time.Second})
 		now, free := epoch, 0
-		told := map[string]int{}
+		sent := map[string]int{}
 		step := func(ev report.Event) {
 			seen := map[string]bool{}
 			for _, r := range s.Step(now, ev) {
-				if _, up := told[r]; !up || seen[r] {
-					t.Fatalf("%s told though gone or told before", r)
+				if _, connected := sent[r]; !connected || seen[r] {
+					t.Fatalf("%s was sent a report though disconnected or already sent one", r)
 				}
 				seen[r] = true
-				told[r] = free
+				sent[r] = free
 			}
 		}
 		for range 60 {
@@ -98,13 +98,13 @@
 			r := fmt.Sprint(rapid.IntRange(0, 6).Draw(t, "router"))
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				told[r] = -1
+				sent[r] = -1
 				step(report.Joined{Router: r})
-				if told[r] != free {
-					t.Fatalf("%s joined and was not told", r)
+				if sent[r] != free {
+					t.Fatalf("%s connected and was sent no report", r)
 				}
 			case 1:
-				delete(told, r)
+				delete(sent, r)
 				step(report.Parted{Router: r})
 			case 2:
 				free = rapid.IntRange(0, 2).Draw(t, "free")
@@ -117,9 +117,9 @@
 			now = now.Add(time.Second)
 			step(report.Ticked{})
 		}
-		for r, known := range told {
+		for r, known := range sent {
 			if (known > 0) != (free > 0) {
-				t.Fatalf("%s was told %d free, it is %d", r, known, free)
+				t.Fatalf("%s was sent %d free slots, there are %d", r, known, free)
 			}
 		}
 	})
