--- a/coordination/selfcheck/selfcheck.go
+++ b/coordination/selfcheck/selfcheck.go
@@ -1,11 +1,12 @@
-// Package selfcheck tells whether what a router sees amiss is amiss at the router itself.
+// Package selfcheck decides whether failures that a router observes are caused by the router
+// itself.
 //
-// The pattern that it answers: a router that reads late hears nobody, and its connections to
-// servers time out. It must not take that for the others' silence, or for servers that have
-// failed. What speaks for the router's own fault is that it is late, that all others fall
-// silent at one moment, or that servers of all data centres cannot be reached at one moment.
+// A router that reads its input late receives no messages, and its connections to servers time
+// out. It must not take that for the failure of the other routers or of the servers. Its own
+// fault is indicated by late reads, by all other routers falling silent at the same time, or
+// by servers of all data centres becoming unreachable at the same time.
 //
-// A State is pure. Direct routers use it, through admission.
+// A State does no I/O and reads no clock. Direct routers use it, through admission.
 package selfcheck
 
 import (
@@ -14,35 +15,38 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config holds the constants of a State.
+// Config holds the thresholds of a State.
 type Config struct {
-	// Silence is the time for which none of the others is heard until the router counts as
-	// deaf, three of their periods if that is longer. Default 300ms.
+	// Silence is the time without a message from any other router after which this router
+	// counts as receiving nothing; three of their sending periods if that is longer. Default
+	// 300ms.
 	Silence time.Duration
-	// Few is the number of others from which their common silence tells that: fewer may
-	// have failed together. Default 3.
-	Few int
-	// Alive is the time for which another router counts as speaking. Default 3s.
-	Alive time.Duration
-	// Within is the time within which servers that cannot be reached count together.
-	// Default 1s.
-	Within time.Duration
-	// Servers is the part of the servers of each data centre, of two at least, that cannot
-	// be reached then at a router that is cut off. Default 0.2.
-	Servers float64
-	// Hold is for how long the router counts as impaired after the last sign of it: what
-	// was begun before may fail yet. Default 1s.
+	// MinPeers is the number of other routers from which their common silence counts: fewer
+	// may have failed together. Default 3.
+	MinPeers int
+	// PeerTimeout is how long another router counts as active after its last message. Default
+	// 3s.
+	PeerTimeout time.Duration
+	// FailureWindow is the time within which unreachable servers are counted together. Default
+	// 1s.
+	FailureWindow time.Duration
+	// UnreachableShare is the share of the servers of each data centre that must be
+	// unreachable for the router to count as partitioned, where there are at least two data
+	// centres. Default 0.2.
+	UnreachableShare float64
+	// Hold is how long the router counts as impaired after the last sign: operations that
+	// started before may still fail. Default 1s.
 	Hold time.Duration
-	// Longest bounds the time for which it counts as deaf: after that the others are gone.
-	// Default 10s.
-	Longest time.Duration
+	// MaxSilence bounds the time for which the router counts as receiving nothing: after that
+	// the others are gone. Default 10s.
+	MaxSilence time.Duration
 }
 
 // DefaultConfig returns the documented defaults.
 func DefaultConfig() Config {
 	return Config{
-		Silence: 300 * time.Millisecond, Few: 3, Alive: 3 * time.Second, Within: time.Second, Servers: 0.2,
-		Hold: time.Second, Longest: 10 * time.Second,
+		Silence: 300 * time.Millisecond, MinPeers: 3, PeerTimeout: 3 * time.Second, FailureWindow: time.Second, UnreachableShare: 0.2,
+		Hold: time.Second, MaxSilence: 10 * time.Second,
 	}
 }
 
@@ -54,113 +58,117 @@
 			err = errors.CombineErrors(err, errors.New(what))
 		}
 	}
-	check(c.Silence > 0 && c.Alive >= c.Silence, "Alive must be at least Silence, both positive")
-	check(c.Few > 1, "Few must be above 1")
-	check(c.Within > 0, "Within must be positive")
-	check(c.Servers > 0 && c.Servers <= 1, "Servers must lie in (0, 1]")
+	check(c.Silence > 0 && c.PeerTimeout >= c.Silence, "PeerTimeout must be at least Silence, both positive")
+	check(c.MinPeers > 1, "MinPeers must be above 1")
+	check(c.FailureWindow > 0, "FailureWindow must be positive")
+	check(c.UnreachableShare > 0 && c.UnreachableShare <= 1, "UnreachableShare must be in (0, 1]")
 	check(c.Hold >= 0, "Hold must not be negative")
-	check(c.Longest >= c.Alive, "Longest must be at least Alive")
+	check(c.MaxSilence >= c.PeerTimeout, "MaxSilence must be at least PeerTimeout")
 	return err
 }
 
-// Signs are what speaks for the router's own fault.
+// Signs are the indications of the router's own fault.
 type Signs struct {
-	// Late: it reads its input late.
+	// Late: the router reads its input late.
 	Late bool
-	// Deaf: all others fell silent at once.
+	// Deaf: all other routers fell silent at once.
 	Deaf bool
-	// Cut: servers of all data centres cannot be reached.
+	// Cut: servers of all data centres are unreachable.
 	Cut bool
 }
 
-// Any reports whether there is one.
+// Any reports whether there is any sign.
 func (s Signs) Any() bool { return s.Late || s.Deaf || s.Cut }
 
 // State is the self-check of one router. It must be used by one goroutine at a time.
 type State struct {
 	cfg Config
-	// period is the time between two words of another router.
+	// period is the time between two messages of another router.
 	period time.Duration
 	late   bool
-	// heard is when each of the others was heard last, newest the last of these.
-	heard  map[string]time.Time
-	newest time.Time
-	// unreached are the servers that could not be reached, with when and where.
-	unreached map[string]failure
-	// last is when there was a sign last.
-	last time.Time
+	// received is when the last message of each other router arrived, newest the latest of
+	// these times.
+	received map[string]time.Time
+	newest   time.Time
+	// unreachable holds the servers that could not be reached, with the time and the data
+	// centre.
+	unreachable map[string]failure
+	// lastSign is when a check last returned a sign.
+	lastSign time.Time
 }
 
-// failure is a server that could not be reached.
+// failure is a failed attempt to reach a server.
 type failure struct {
 	at         time.Time
 	dataCentre string
 }
 
-// New returns the self-check of a router at which nothing is amiss. The config must be valid.
+// New returns the self-check of a router without signs of a fault. The config must be valid.
 func New(cfg Config) *State {
-	return &State{cfg: cfg, heard: make(map[string]time.Time), unreached: make(map[string]failure)}
+	return &State{cfg: cfg, received: make(map[string]time.Time), unreachable: make(map[string]failure)}
 }
 
-// SetPeriod tells how much time lies between two words of another router.
+// SetPeriod sets the time between two messages of another router.
 func (s *State) SetPeriod(period time.Duration) { s.period = period }
 
-// SetLate tells whether the router reads its input late.
+// SetLate sets whether the router reads its input late.
 func (s *State) SetLate(late bool) { s.late = late }
 
-// Heard notes that another router was heard.
-func (s *State) Heard(now time.Time, router string) { s.heard[router], s.newest = now, now }
+// Heard records a message from another router.
+func (s *State) Heard(now time.Time, router string) { s.received[router], s.newest = now, now }
 
-// Reached notes that a server could be reached.
-func (s *State) Reached(server string) { delete(s.unreached, server) }
+// Reached records that a server could be reached.
+func (s *State) Reached(server string) { delete(s.unreachable, server) }
 
-// Unreached notes that a server could not be reached.
+// Unreached records that a server could not be reached.
 func (s *State) Unreached(now time.Time, server, dataCentre string) {
-	s.unreached[server] = failure{now, dataCentre}
+	s.unreachable[server] = failure{now, dataCentre}
 }
 
-// Misses reports whether a server could not be reached of late.
-func (s *State) Misses() bool { return len(s.unreached) > 0 }
+// Misses reports whether a server could not be reached recently.
+func (s *State) Misses() bool { return len(s.unreachable) > 0 }
 
-// Check returns the signs at the time. Servers holds the number of known servers by data
-// centre; it may be nil while no server is missed.
+// Check returns the signs at the given time. Servers holds the number of known servers by data
+// centre; it may be nil while no server is unreachable.
 func (s *State) Check(now time.Time, servers map[string]int) Signs {
-	signs := Signs{Late: s.late, Deaf: s.isDeaf(now), Cut: s.isCut(now, servers)}
+	signs := Signs{Late: s.late, Deaf: s.receivesNothing(now), Cut: s.isPartitioned(now, servers)}
 	if signs.Any() {
-		s.last = now
+		s.lastSign = now
 	}
 	return signs
 }
 
 // Impaired reports whether there was a sign at the last check or shortly before.
 func (s *State) Impaired(now time.Time) bool {
-	return s.late || !s.last.IsZero() && now.Sub(s.last) <= s.cfg.Hold
+	return s.late || !s.lastSign.IsZero() && now.Sub(s.lastSign) <= s.cfg.Hold
 }
 
-// isDeaf reports whether others spoke until one moment and none did since.
-func (s *State) isDeaf(now time.Time) bool {
+// receivesNothing reports whether the other routers sent messages until one time and none of
+// them did since.
+func (s *State) receivesNothing(now time.Time) bool {
 	silent := now.Sub(s.newest)
-	if s.newest.IsZero() || silent < max(s.cfg.Silence, 3*s.period) || silent > s.cfg.Longest {
+	if s.newest.IsZero() || silent < max(s.cfg.Silence, 3*s.period) || silent > s.cfg.MaxSilence {
 		return false
 	}
-	speaking := 0
-	for router, at := range s.heard {
+	active := 0
+	for router, at := range s.received {
 		switch {
-		case s.newest.Sub(at) <= s.cfg.Alive:
-			speaking++
+		case s.newest.Sub(at) <= s.cfg.PeerTimeout:
+			active++
 		default:
-			delete(s.heard, router)
+			delete(s.received, router)
 		}
 	}
-	return speaking >= s.cfg.Few
+	return active >= s.cfg.MinPeers
 }
 
-// isCut reports whether so many servers of each data centre could not be reached.
-func (s *State) isCut(now time.Time, servers map[string]int) bool {
+// isPartitioned reports whether at least UnreachableShare of the servers of each data centre
+// could not be reached.
+func (s *State) isPartitioned(now time.Time, servers map[string]int) bool {
 	failed := make(map[string]int)
-	for id, f := range s.unreached {
-		if now.Sub(f.at) > s.cfg.Within {
-			delete(s.unreached, id)
+	for id, f := range s.unreachable {
+		if now.Sub(f.at) > s.cfg.FailureWindow {
+			delete(s.unreachable, id)
 			continue
 		}
 		failed[f.dataCentre]++
@@ -169,7 +177,7 @@
 		return false
 	}
 	for dataCentre, known := range servers {
-		if float64(failed[dataCentre]) < s.cfg.Servers*float64(known) {
+		if float64(failed[dataCentre]) < s.cfg.UnreachableShare*float64(known) {
 			return false
 		}
 	}
--- a/coordination/selfcheck/selfcheck_test.go
+++ b/coordination/selfcheck/selfcheck_test.go
@@ -12,8 +12,8 @@
 
 var servers = map[string]int{"a": 20, "b": 20, "c": 20}
 
-// speak lets that many others speak for a second, every 100 ms.
-func speak(s *State, now time.Time, routers int) time.Time {
+// receive records messages from that many other routers for a second, every 100 ms.
+func receive(s *State, now time.Time, routers int) time.Time {
 	for range 10 {
 		now = now.Add(100 * time.Millisecond)
 		for i := range routers {
@@ -23,53 +23,53 @@
 	return now
 }
 
-func TestConfigNamesWhatIsWrong(t *testing.T) {
+func TestValidateNamesInvalidField(t *testing.T) {
 	qt.Check(t, DefaultConfig().Validate(), qt.IsNil)
 	bad := DefaultConfig()
-	bad.Few, bad.Servers = 1, 0
-	qt.Check(t, bad.Validate(), qt.ErrorMatches, "(?s).*(Few|Servers).*")
+	bad.MinPeers, bad.UnreachableShare = 1, 0
+	qt.Check(t, bad.Validate(), qt.ErrorMatches, "(?s).*(MinPeers|UnreachableShare).*")
 }
 
-// Guards against a router that takes its own deafness for the silence of all others, and
-// against one that takes the silence of some for its own fault.
-func TestOnlyTheSilenceOfAllIsDeafness(t *testing.T) {
+// Guards against a router that receives nothing and takes all others for failed, and against
+// one that takes the silence of some others for its own fault.
+func TestOnlySilenceOfAllPeersCounts(t *testing.T) {
 	s := New(DefaultConfig())
 	qt.Check(t, s.Check(epoch, servers).Any(), qt.IsFalse)
-	now := speak(s, epoch, 29)
+	now := receive(s, epoch, 29)
 	qt.Check(t, s.Check(now, servers).Any(), qt.IsFalse)
 	qt.Check(t, s.Check(now.Add(400*time.Millisecond), servers).Deaf, qt.IsTrue)
 	qt.Check(t, s.Check(now.Add(9*time.Second), servers).Deaf, qt.IsTrue)
-	// Others that speak for so long no more are gone.
+	// Others that have been silent for this long are gone.
 	qt.Check(t, s.Check(now.Add(11*time.Second), servers).Deaf, qt.IsFalse)
-	now = speak(s, now, 29)
+	now = receive(s, now, 29)
 	for range 50 {
 		now = now.Add(100 * time.Millisecond)
 		s.Heard(now, "r-0")
 		qt.Assert(t, s.Check(now, servers).Deaf, qt.IsFalse)
 	}
-	// One that spoke alone may have ended.
+	// A single active router may have ended.
 	qt.Check(t, s.Check(now.Add(time.Second), servers).Deaf, qt.IsFalse)
 }
 
 // In a fleet of three the two others may have failed together.
-func TestFewOthersMayFailTogether(t *testing.T) {
+func TestSilenceOfFewPeersDoesNotCount(t *testing.T) {
 	s := New(DefaultConfig())
-	now := speak(s, epoch, 2)
+	now := receive(s, epoch, 2)
 	qt.Check(t, s.Check(now.Add(time.Second), servers).Any(), qt.IsFalse)
 }
 
-// Words that come rarely are not missed between two of them.
-func TestSilenceIsMeasuredByThePeriod(t *testing.T) {
+// A long sending period does not count as silence.
+func TestSilenceLimitScalesWithPeriod(t *testing.T) {
 	s := New(DefaultConfig())
 	s.SetPeriod(time.Second)
-	now := speak(s, epoch, 29)
+	now := receive(s, epoch, 29)
 	qt.Check(t, s.Check(now.Add(2*time.Second), servers).Deaf, qt.IsFalse)
 	qt.Check(t, s.Check(now.Add(3100*time.Millisecond), servers).Deaf, qt.IsTrue)
 }
 
-// Guards against a lost data centre that is taken for this router's own fault, and against a
-// router that is cut off and blames the servers of all data centres.
-func TestOnlyServersOfAllDataCentresTellOfACut(t *testing.T) {
+// Guards against taking the loss of a data centre for this router's own fault, and against a
+// partitioned router that blames the servers of all data centres.
+func TestOnlyFailuresInAllDataCentresCount(t *testing.T) {
 	s := New(DefaultConfig())
 	now := epoch
 	for i := range 20 {
@@ -83,7 +83,7 @@
 	}
 	qt.Check(t, s.Check(now, servers).Cut, qt.IsTrue)
 	qt.Check(t, s.Impaired(now), qt.IsTrue)
-	// A server that answers takes its failure back.
+	// A successful connection removes the server's failure.
 	s.Reached("b0")
 	qt.Check(t, s.Check(now, servers).Cut, qt.IsFalse)
 	qt.Check(t, s.Impaired(now.Add(500*time.Millisecond)), qt.IsTrue)
