--- a/coordination/repeats/repeats_test.go
+++ b/coordination/repeats/repeats_test.go
@@ -10,7 +10,7 @@
 
 var cfg = Config{Window: 10 * time.Second, Ratio: 0.2, Allowance: 50, Use: 0.8}
 
-func TestAFailingServiceSpendsNoMoreThanTheBudget(t *testing.T) {
+func TestFailingServiceStaysWithinBudget(t *testing.T) {
 	b, now := New(cfg), time.Unix(1000, 0)
 	taken := 0
 	for range 1000 {
@@ -24,7 +24,7 @@
 	qt.Check(t, taken, qt.Equals, 168)
 }
 
-func TestAnUnusedAllowanceComesBackAfterTheWindow(t *testing.T) {
+func TestAllowanceIsRestoredAfterWindow(t *testing.T) {
 	b, now := New(cfg), time.Unix(1000, 0)
 	for b.Take(now, 1) {
 	}
@@ -32,9 +32,8 @@
 	qt.Check(t, b.Take(now.Add(11*time.Second), 1), qt.IsTrue)
 }
 
-// In each window of the given length the repeats stay within the bound, for
-// any pattern of requests and repeats.
-func TestEveryWindowKeepsTheBound(t *testing.T) {
+// In any window the retries stay within the limit, for any sequence of requests and retries.
+func TestEveryWindowStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := New(cfg), time.Unix(1000, 0)
 		type event struct {
@@ -60,7 +59,7 @@
 					repeats++
 				}
 			}
-			// Requests of the window and of the half a window before it count.
+			// Requests of the window and of the window before it count.
 			requests := 0.0
 			for _, e := range events {
 				d := e.at.Sub(first.at)
@@ -69,7 +68,7 @@
 				}
 			}
 			if repeats > cfg.Ratio*requests+cfg.Allowance/2 {
-				t.Fatalf("%v repeats for %v requests", repeats, requests)
+				t.Fatalf("%v retries for %v requests", repeats, requests)
 			}
 		}
 	})
