--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// crash is one end of a server, by all that is known of it in the fleet.
+// crash is the crash of a server, merged from all reports of the fleet.
 type crash struct {
 	server string
 	at     time.Time
-	// suspects are the contents that ran there, with the routers that said so.
+	// suspects maps the requests that were running there to the routers that reported them.
 	suspects map[Fingerprint][]string
-	// explained tells that a refused request ran there: the others did not do it.
+	// explained is set if a refused request was running there: the crash does not count
+	// against the others.
 	explained bool
-	// own tells that this router saw it.
-	own bool
+	// observedHere is set if this router observed the crash itself.
+	observedHere bool
 }
 
-// Crash notes that the incarnation of a server ended without having announced it,
-// by this router's own observation.
+// Crash records that this router observed the incarnation of a server end without having
+// announced its shutdown.
 func (s *State) Crash(now time.Time, server string) {
 	suspects := s.suspects(now, server)
 	_, known := s.crashes[server]
-	delete(s.hosts, server)
+	delete(s.incarnations, server)
 	if known && len(suspects) == 0 {
 		return
 	}
@@ -30,26 +31,26 @@
 		s.emit(Event{Kind: Crashed, Server: server, Suspects: len(suspects)})
 	}
 	c := s.crash(now, server)
-	c.own = true
-	contents := make([]Fingerprint, 0, len(suspects))
-	for content := range suspects {
-		contents = append(contents, content)
+	c.observedHere = true
+	fps := make([]Fingerprint, 0, len(suspects))
+	for fp := range suspects {
+		fps = append(fps, fp)
 	}
-	s.learn(now, c, s.self, contents)
-	s.news.add(c)
+	s.addSuspects(now, c, s.self, fps)
+	s.unsent.add(c)
 }
 
-// crash returns what is known of the server's end, which was at the time by this
-// word; of several the earliest holds.
+// crash returns the crash of the server, adding it if necessary; of several reported times the
+// earliest wins.
 func (s *State) crash(at time.Time, server string) *crash {
 	c := s.crashes[server]
 	if c == nil {
 		c = &crash{server: server, at: at, suspects: make(map[Fingerprint][]string)}
 		s.crashes[server] = c
-		s.order = append(s.order, c)
-		if len(s.order) > s.cfg.MostCrashes {
-			s.drop(s.order[0])
-			s.order = s.order[1:]
+		s.crashOrder = append(s.crashOrder, c)
+		if len(s.crashOrder) > s.cfg.MaxCrashes {
+			s.removeCrash(s.crashOrder[0])
+			s.crashOrder = s.crashOrder[1:]
 		}
 		return c
 	}
@@ -59,137 +60,140 @@
 	return c
 }
 
-// learn adds contents that ran there by the router's word, and judges them anew.
-func (s *State) learn(now time.Time, c *crash, router string, contents []Fingerprint) {
+// addSuspects adds requests that were running there according to the router, and schedules
+// their judgement.
+func (s *State) addSuspects(now time.Time, c *crash, router string, fps []Fingerprint) {
 	var added []Fingerprint
-	for _, content := range contents {
-		tellers, known := c.suspects[content]
-		if !known && len(c.suspects) >= s.cfg.MostSuspects {
+	for _, fp := range fps {
+		reporters, known := c.suspects[fp]
+		if !known && len(c.suspects) >= s.cfg.MaxSuspects {
 			continue
 		}
-		if !slices.Contains(tellers, router) {
-			c.suspects[content] = append(tellers, router)
+		if !slices.Contains(reporters, router) {
+			c.suspects[fp] = append(reporters, router)
 		}
 		if known {
 			continue
 		}
-		r := s.record(content)
+		r := s.record(fp)
 		r.crashes = append(r.crashes, c)
-		if !r.held.IsZero() {
+		if !r.refusedAt.IsZero() {
 			c.explained = true
 		}
-		added = append(added, content)
+		added = append(added, fp)
 	}
-	for _, content := range added {
-		s.consider(now, content)
+	for _, fp := range added {
+		s.scheduleJudgement(now, fp)
 	}
 	s.judgeDue(now)
 }
 
-// learnReasons adds that the refused content ran where it is refused for.
-func (s *State) learnReasons(now time.Time, content Fingerprint, router string, reasons []Strike) {
+// addReasons adds the refused request to the suspects of the crashes that its refusal is based
+// on.
+func (s *State) addReasons(now time.Time, fp Fingerprint, router string, reasons []Strike) {
 	for _, reason := range reasons {
 		c := s.crashes[reason.Server]
-		if now.Sub(reason.At) > s.cfg.Memory || c == nil && len(s.order) >= s.cfg.MostCrashes {
+		if now.Sub(reason.At) > s.cfg.CrashTTL || c == nil && len(s.crashOrder) >= s.cfg.MaxCrashes {
 			continue
 		}
 		if c == nil {
 			c = s.crash(reason.At, reason.Server)
 		}
-		if c.suspects[content] == nil {
-			s.learn(now, c, router, []Fingerprint{content})
+		if c.suspects[fp] == nil {
+			s.addSuspects(now, c, router, []Fingerprint{fp})
 		}
 	}
 }
 
-func (s *State) record(content Fingerprint) *record {
-	r := s.records[content]
+func (s *State) record(fp Fingerprint) *record {
+	r := s.records[fp]
 	if r == nil {
 		r = &record{}
-		s.records[content] = r
+		s.records[fp] = r
 	}
 	return r
 }
 
-// clear forgets what speaks against the content up to the time.
-func (s *State) clear(now, at time.Time, content Fingerprint, cause Cause) {
-	r := s.records[content]
-	if r == nil || !at.After(r.cleared) {
+// clear discards the crashes up to the given time that count against the request.
+func (s *State) clear(now, at time.Time, fp Fingerprint, cause Cause) {
+	r := s.records[fp]
+	if r == nil || !at.After(r.clearedAt) {
 		return
 	}
-	counts := len(s.counted(r)) > 0 || !r.held.IsZero()
-	r.cleared, r.clearedHere = at, cause != ByPeer
-	if !r.held.IsZero() {
-		if r.held.After(at) {
-			// The word of others that it is refused since then must not come back.
-			r.cleared = r.held
+	counted := len(s.countedCrashes(r)) > 0 || !r.refusedAt.IsZero()
+	r.clearedAt, r.clearedLocally = at, cause != ByPeer
+	if !r.refusedAt.IsZero() {
+		if r.refusedAt.After(at) {
+			// Reports of others that the request is refused since then must not refuse it
+			// again.
+			r.clearedAt = r.refusedAt
 		}
-		r.held, r.reasons = time.Time{}, nil
-		delete(s.held, content)
+		r.refusedAt, r.reasons = time.Time{}, nil
+		delete(s.refused, fp)
 		for _, c := range r.crashes {
-			c.explained = s.hasHeld(c)
+			c.explained = s.hasRefused(c)
 		}
 	}
-	if !counts {
+	if !counted {
 		return
 	}
-	s.emit(Event{Kind: Cleared, Content: content, Cause: cause})
-	if r.clearedHere {
-		s.news.cleared = append(s.news.cleared, content)
+	s.emit(Event{Kind: Cleared, Content: fp, Cause: cause})
+	if r.clearedLocally {
+		s.unsent.cleared = append(s.unsent.cleared, fp)
 	}
 	for _, c := range r.crashes {
 		for other := range c.suspects {
-			// One that was only a tie away from being refused has no rival now.
-			s.consider(now, other)
+			// A request that was not refused only because of a tie may have no rival now.
+			s.scheduleJudgement(now, other)
 		}
 	}
 }
 
-func (s *State) hasHeld(c *crash) bool {
-	for content := range c.suspects {
-		if s.held[content] != nil {
+func (s *State) hasRefused(c *crash) bool {
+	for fp := range c.suspects {
+		if s.refused[fp] != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// forget drops crashes that are too old, and what they said of contents.
-func (s *State) forget(now time.Time) {
-	for len(s.order) > 0 && now.Sub(s.order[0].at) > s.cfg.Memory {
-		s.drop(s.order[0])
-		s.order = s.order[1:]
-	}
-	for content, r := range s.records {
-		if len(r.crashes) == 0 && r.held.IsZero() && now.Sub(r.cleared) > s.cfg.Memory {
-			delete(s.records, content)
+// expire drops crashes that are too old, and the records that depend on them.
+func (s *State) expire(now time.Time) {
+	for len(s.crashOrder) > 0 && now.Sub(s.crashOrder[0].at) > s.cfg.CrashTTL {
+		s.removeCrash(s.crashOrder[0])
+		s.crashOrder = s.crashOrder[1:]
+	}
+	for fp, r := range s.records {
+		if len(r.crashes) == 0 && r.refusedAt.IsZero() && now.Sub(r.clearedAt) > s.cfg.CrashTTL {
+			delete(s.records, fp)
 		}
 	}
 }
 
-func (s *State) drop(c *crash) {
+func (s *State) removeCrash(c *crash) {
 	delete(s.crashes, c.server)
-	s.news.remove(c)
-	for content := range c.suspects {
-		r := s.records[content]
+	s.unsent.remove(c)
+	for fp := range c.suspects {
+		r := s.records[fp]
 		r.crashes = slices.DeleteFunc(r.crashes, func(other *crash) bool { return other == c })
-		if len(r.crashes) == 0 && r.held.IsZero() && r.cleared.IsZero() {
-			delete(s.records, content)
+		if len(r.crashes) == 0 && r.refusedAt.IsZero() && r.clearedAt.IsZero() {
+			delete(s.records, fp)
 		}
 	}
 }
 
-func (s *State) dropOldestHeld() {
+func (s *State) evictOldestRefusal() {
 	var oldest Fingerprint
 	var since time.Time
-	for content, r := range s.held {
-		if since.IsZero() || r.held.Before(since) {
-			oldest, since = content, r.held
+	for fp, r := range s.refused {
+		if since.IsZero() || r.refusedAt.Before(since) {
+			oldest, since = fp, r.refusedAt
 		}
 	}
-	r := s.held[oldest]
-	r.held, r.reasons = time.Time{}, nil
-	delete(s.held, oldest)
+	r := s.refused[oldest]
+	r.refusedAt, r.reasons = time.Time{}, nil
+	delete(s.refused, oldest)
 	if len(r.crashes) == 0 {
 		delete(s.records, oldest)
 	}
--- a/coordination/quarantine/fingerprint_test.go
+++ b/coordination/quarantine/fingerprint_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestAFingerprintTellsContentsApart(t *testing.T) {
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	base := Of("team", "POST", "h", "/a/1", []byte("body"))
 	qt.Check(t, Of("team", "POST", "h", "/a/1", []byte("body")), qt.Equals, base)
 	others := []Fingerprint{
--- a/coordination/quarantine/fleet_test.go
+++ b/coordination/quarantine/fleet_test.go
@@ -11,74 +11,74 @@
 	"goldcrestport/coordination/internal/virtualtime"
 )
 
-// The fleet of these tests is a model in virtual time: routers that tell each other
-// with delay and loss, over links of which some are cut one way; servers that crash
-// and come back; sound callers, and one who insists on a request that crashes each
-// server that begins it, at times as several copies at once. The figures of the
-// insisting caller are those that were seen: attempts some hundred milliseconds apart,
-// crashes 20 to 150 ms after the begin, servers back after seconds.
+// These tests simulate a fleet in virtual time: routers that exchange reports with delay and
+// loss, over links of which some drop everything in one direction; servers that crash and
+// restart; callers with harmless requests, and one that keeps sending a request that crashes
+// each server that starts it, sometimes as several copies at once. Its parameters are those
+// observed: attempts some hundred milliseconds apart, crashes 20 to 150 ms after the start,
+// servers back after seconds.
 
-// fleetSize is a fleet of the model.
+// fleetSize is the size of a simulated fleet.
 type fleetSize struct {
 	routers, servers int
-	// span is how long callers are at it.
+	// span is how long callers send requests.
 	span time.Duration
 	// seeds is the number of runs.
 	seeds uint64
 }
 
-// Figures of the model.
+// Parameters of the simulation.
 const (
-	contact      = 3 * time.Second
-	insistGap    = 150 * time.Millisecond
-	copiesEvery  = 7
-	copiesAtOnce = 4
-	soundGap     = 4 * time.Millisecond
-	lossPercent  = 5
-	cutPercent   = 5
-	tickEvery    = 200 * time.Millisecond
-	standLeast   = 250 * time.Millisecond
-	standBudget  = 200
-	awayLeast    = 300 * time.Millisecond
-	awayMost     = 4 * time.Second
+	contact           = 3 * time.Second
+	crashingGap       = 150 * time.Millisecond
+	copiesEvery       = 7
+	copiesAtOnce      = 4
+	harmlessGap       = 4 * time.Millisecond
+	lossPercent       = 5
+	cutPercent        = 5
+	tickEvery         = 200 * time.Millisecond
+	minReportInterval = 250 * time.Millisecond
+	reportBudget      = 200
+	minDowntime       = 300 * time.Millisecond
+	maxDowntime       = 4 * time.Second
 )
 
-// Wrong refusals that the users bear: some, and one in so many requests.
+// Wrong refusals that the users tolerate: wrongSlack, and one in wrongShare requests.
 const (
 	wrongSlack = 5
 	wrongShare = 500
 )
 
-// modelServer is one server with its present incarnation.
+// modelServer is a server with its present incarnation.
 type modelServer struct {
-	id    int
-	life  int
-	alive bool
-	// runs are those of the present incarnation, with their routers.
+	id          int
+	incarnation int
+	alive       bool
+	// runs holds the runs of the present incarnation, with their routers.
 	runs map[*Run]*State
 }
 
-func (m *modelServer) name() string { return fmt.Sprintf("i-%d@%d", m.id, m.life) }
+func (m *modelServer) name() string { return fmt.Sprintf("i-%d@%d", m.id, m.incarnation) }
 
-// model is one run.
+// model is one run of the simulation.
 type model struct {
 	random *rand.Rand
 	virtualtime.Queue
 	routers []*State
 	servers []*modelServer
-	cut     map[[2]int]bool
+	blocked map[[2]int]bool
 	end     time.Time
 
-	crashes  []time.Time
-	sends    []time.Time
-	sound    int
-	wrong    int
-	told     int
-	datagram int
+	crashes        []time.Time
+	sends          []time.Time
+	harmless       int
+	wronglyRefused int
+	reportsSent    int
+	datagramsSent  int
 }
 
 func newModel(size fleetSize, seed uint64) *model {
-	m := &model{random: rand.New(rand.NewPCG(seed, 3)), Queue: virtualtime.Queue{Now: epoch}, end: epoch.Add(size.span), cut: make(map[[2]int]bool)}
+	m := &model{random: rand.New(rand.NewPCG(seed, 3)), Queue: virtualtime.Queue{Now: epoch}, end: epoch.Add(size.span), blocked: make(map[[2]int]bool)}
 	ids := make([]string, size.routers)
 	for i := range ids {
 		ids[i] = fmt.Sprint("r-", i)
@@ -88,10 +88,10 @@
 		s.SetRouters(ids)
 		m.routers = append(m.routers, s)
 		for j := range ids {
-			m.cut[[2]int{i, j}] = m.random.IntN(100) < cutPercent
+			m.blocked[[2]int{i, j}] = m.random.IntN(100) < cutPercent
 		}
 		m.every(tickEvery, func() { m.tick(i) })
-		m.every(max(standLeast, time.Duration(size.routers)*time.Second/standBudget), func() { m.tell(i, m.routers[i].Standing(m.Now)) })
+		m.every(max(minReportInterval, time.Duration(size.routers)*time.Second/reportBudget), func() { m.send(i, m.routers[i].Standing(m.Now)) })
 	}
 	for i := range size.servers {
 		m.servers = append(m.servers, &modelServer{id: i, alive: true, runs: make(map[*Run]*State)})
@@ -99,7 +99,8 @@
 	return m
 }
 
-// every repeats until the end, from a random moment of the period on.
+// every calls do once a period until the end, starting at a random time within the first
+// period.
 func (m *model) every(period time.Duration, do func()) {
 	var again func()
 	again = func() {
@@ -113,28 +114,28 @@
 
 func (m *model) tick(i int) {
 	m.routers[i].Tick(m.Now)
-	m.news(i)
+	m.sendUnsent(i)
 }
 
-// news tells what is new at the router, if anything.
-func (m *model) news(i int) {
+// sendUnsent sends the unsent changes of the router, if any.
+func (m *model) sendUnsent(i int) {
 	if s := m.routers[i]; s.HasNews() {
-		m.tell(i, s.News(m.Now))
+		m.send(i, s.News(m.Now))
 	}
 }
 
-// tell sends reports to all others.
-func (m *model) tell(from int, reports []Report) {
-	for _, one := range reports {
-		m.told++
+// send sends reports to all other routers.
+func (m *model) send(from int, reports []Report) {
+	for _, report := range reports {
+		m.reportsSent++
 		for to := range m.routers {
-			if to == from || m.cut[[2]int{from, to}] || m.random.IntN(100) < lossPercent {
+			if to == from || m.blocked[[2]int{from, to}] || m.random.IntN(100) < lossPercent {
 				continue
 			}
-			m.datagram++
+			m.datagramsSent++
 			m.After(time.Duration(1+m.random.IntN(9))*time.Millisecond, func() {
-				m.routers[to].Told(m.Now, m.routers[from].self, one)
-				m.news(to)
+				m.routers[to].Told(m.Now, m.routers[from].self, report)
+				m.sendUnsent(to)
 			})
 		}
 	}
@@ -144,18 +145,18 @@
 	return least + time.Duration(m.random.Int64N(int64(most-least)))
 }
 
-// server returns a server that lives, or nil.
+// server returns a random running server, or nil.
 func (m *model) server() *modelServer {
 	for range 20 {
-		if one := m.servers[m.random.IntN(len(m.servers))]; one.alive {
-			return one
+		if server := m.servers[m.random.IntN(len(m.servers))]; server.alive {
+			return server
 		}
 	}
 	return nil
 }
 
-// insist sends the request that crashes servers.
-func (m *model) insist(n int) {
+// insist keeps sending the request that crashes servers.
+func (m *model) sendCrashing(n int) {
 	copies := 1
 	if n%copiesEvery == 0 {
 		copies = copiesAtOnce
@@ -167,18 +168,18 @@
 		}
 		m.sends = append(m.sends, m.Now)
 		server.runs[router.Begin(bad, server.name())] = router
-		life := server.life
+		incarnation := server.incarnation
 		m.After(m.between(20*time.Millisecond, 150*time.Millisecond), func() {
-			if server.alive && server.life == life {
+			if server.alive && server.incarnation == incarnation {
 				m.crash(server)
 				m.crashes = append(m.crashes, m.Now)
 			}
 		})
 	}
-	m.After(m.between(insistGap/2, 2*insistGap), func() { m.insist(n + 1) })
+	m.After(m.between(crashingGap/2, 2*crashingGap), func() { m.sendCrashing(n + 1) })
 }
 
-// crash ends the server: each router sees its own answers break off.
+// crash ends the server: each router observes its own answers being interrupted.
 func (m *model) crash(server *modelServer) {
 	name, runs := server.name(), server.runs
 	server.alive, server.runs = false, make(map[*Run]*State)
@@ -191,53 +192,53 @@
 		if seen[router] {
 			m.After(m.between(time.Millisecond, 4*time.Millisecond), func() {
 				router.Crash(m.Now, name)
-				m.news(i)
+				m.sendUnsent(i)
 			})
 		}
 	}
-	m.After(m.between(awayLeast, awayMost), func() { server.life, server.alive = server.life+1, true })
+	m.After(m.between(minDowntime, maxDowntime), func() { server.incarnation, server.alive = server.incarnation+1, true })
 }
 
-// serve sends a sound request, up to as often as a router and its caller repeat it.
-func (m *model) serve(content Fingerprint, tries int) {
+// serve sends a harmless request, up to as often as a router and its caller retry it.
+func (m *model) serve(fp Fingerprint, tries int) {
 	router, server := m.routers[m.random.IntN(len(m.routers))], m.server()
 	if server == nil || tries == 0 {
 		return
 	}
-	switch router.Check(m.Now, content) {
+	switch router.Check(m.Now, fp) {
 	case Refuse:
-		m.wrong++
+		m.wronglyRefused++
 		return
 	case Wait:
-		m.After(500*time.Millisecond, func() { m.serve(content, tries-1) })
+		m.After(500*time.Millisecond, func() { m.serve(fp, tries-1) })
 		return
 	}
-	m.sound++
-	run := router.Begin(content, server.name())
+	m.harmless++
+	run := router.Begin(fp, server.name())
 	server.runs[run] = router
-	life := server.life
+	incarnation := server.incarnation
 	m.After(m.between(20*time.Millisecond, 3*time.Second), func() {
-		if server.alive && server.life == life {
+		if server.alive && server.incarnation == incarnation {
 			delete(server.runs, run)
 			router.End(m.Now, run, Complete)
 			return
 		}
-		// It broke off: the router repeats it, or its caller comes back.
-		m.serve(content, tries-1)
+		// The answer was interrupted: the router or the caller retries.
+		m.serve(fp, tries-1)
 	})
 }
 
-// load sends sound requests: most with a content of their own, some that many ask for.
+// load sends harmless requests: most are unique, some are sent by many callers.
 func (m *model) load(n int) {
-	content := Fingerprint(1000 + n)
+	fp := Fingerprint(1000 + n)
 	if n%10 == 0 {
-		content = Fingerprint(100 + m.random.IntN(20))
+		fp = Fingerprint(100 + m.random.IntN(20))
 	}
-	m.serve(content, 4)
-	m.After(time.Duration(m.random.ExpFloat64()*float64(soundGap)), func() { m.load(n + 1) })
+	m.serve(fp, 4)
+	m.After(time.Duration(m.random.ExpFloat64()*float64(harmlessGap)), func() { m.load(n + 1) })
 }
 
-// late counts the sends later than the time of contact after the third crash.
+// late counts the sends later than the contact time after the third crash.
 func (m *model) late() (n int) {
 	if len(m.crashes) < 3 {
 		return 0
@@ -250,11 +251,11 @@
 	return n
 }
 
-// play runs a model whose insisting caller begins after 3 s.
-func play(size fleetSize, seed uint64) *model {
+// simulate runs a model whose crashing request is first sent after 3 s.
+func simulate(size fleetSize, seed uint64) *model {
 	m := newModel(size, seed)
 	m.load(0)
-	m.After(3*time.Second, func() { m.insist(0) })
+	m.After(3*time.Second, func() { m.sendCrashing(0) })
 	m.run()
 	return m
 }
@@ -266,26 +267,26 @@
 	{routers: 800, servers: 2200, span: 11 * time.Second, seeds: 1},
 }
 
-// The promise holds at each size, with lost datagrams and cut links, and no more sound
-// requests are refused than the users bear: 5 and one in 500. The aim is none.
-func TestFleetsKnowARequestThatCrashesServers(t *testing.T) {
+// The promise holds at each size, with lost datagrams and one-way links, and no more harmless
+// requests are refused than the users tolerate: 5 and one in 500. The aim is none.
+func TestFleetRefusesCrashingRequest(t *testing.T) {
 	for _, size := range fleetSizes {
 		for seed := range size.seeds {
-			m := play(size, seed)
-			what := qt.Commentf("%d routers, seed %d: %d servers ended, %d sends, %d late, %d sound, %d refused wrongly", size.routers, seed, len(m.crashes), len(m.sends), m.late(), m.sound, m.wrong)
+			m := simulate(size, seed)
+			what := qt.Commentf("%d routers, seed %d: %d servers crashed, %d sends, %d late, %d harmless, %d wrongly refused", size.routers, seed, len(m.crashes), len(m.sends), m.late(), m.harmless, m.wronglyRefused)
 			t.Log(what)
 			qt.Check(t, len(m.crashes) >= 3, qt.IsTrue, what)
 			qt.Check(t, m.late() <= 3, qt.IsTrue, what)
-			qt.Check(t, m.wrong <= wrongSlack+m.sound/wrongShare, qt.IsTrue, what)
+			qt.Check(t, m.wronglyRefused <= wrongSlack+m.harmless/wrongShare, qt.IsTrue, what)
 		}
 	}
 }
 
-// Servers crash for reasons of their own, several in a row and many at once: nobody
-// insists on anything, and no sound request may be refused.
-func TestCrashesOfOtherCausesBlameNobody(t *testing.T) {
+// Servers crash for other reasons, several in a row and many at once: no request causes it,
+// and no harmless request may be refused.
+func TestUnrelatedCrashesRefuseNothing(t *testing.T) {
 	size := fleetSize{routers: 5, servers: 12, span: 40 * time.Second}
-	wrong, sound, crashes := 0, 0, 0
+	wrong, harmless, crashes := 0, 0, 0
 	for seed := range uint64(20) {
 		m := newModel(size, seed)
 		m.load(0)
@@ -295,23 +296,23 @@
 				ended = 5
 			}
 			for range ended {
-				if one := m.server(); one != nil && m.Now.After(epoch.Add(3*time.Second)) {
+				if server := m.server(); server != nil && m.Now.After(epoch.Add(3*time.Second)) {
 					crashes++
-					m.crash(one)
+					m.crash(server)
 				}
 			}
 		})
 		m.run()
-		wrong, sound = wrong+m.wrong, sound+m.sound
+		wrong, harmless = wrong+m.wronglyRefused, harmless+m.harmless
 	}
-	t.Logf("%d crashes, %d sends, %d refused wrongly", crashes, sound, wrong)
-	qt.Check(t, wrong <= wrongSlack+sound/wrongShare, qt.IsTrue, qt.Commentf("%d of %d", wrong, sound))
+	t.Logf("%d crashes, %d sends, %d wrongly refused", crashes, harmless, wrong)
+	qt.Check(t, wrong <= wrongSlack+harmless/wrongShare, qt.IsTrue, qt.Commentf("%d of %d", wrong, harmless))
 }
 
-func TestTheSameSeedGivesTheSame(t *testing.T) {
+func TestSimulationIsDeterministic(t *testing.T) {
 	size := fleetSize{routers: 5, servers: 12, span: 8 * time.Second}
-	a, b := play(size, 7), play(size, 7)
+	a, b := simulate(size, 7), simulate(size, 7)
 	qt.Check(t, a.sends, qt.DeepEquals, b.sends)
 	qt.Check(t, a.crashes, qt.DeepEquals, b.crashes)
-	qt.Check(t, a.sound, qt.Equals, b.sound)
+	qt.Check(t, a.harmless, qt.Equals, b.harmless)
 }
--- a/coordination/quarantine/judge.go
+++ b/coordination/quarantine/judge.go
@@ -5,95 +5,96 @@
 	"time"
 )
 
-// consider judges the content when the other routers, if there are any, have had
-// time to say what they know.
-func (s *State) consider(now time.Time, content Fingerprint) {
-	hearing := s.cfg.Hearing
+// scheduleJudgement has the request judged once the other routers, if there are any, have had
+// time to report what they know.
+func (s *State) scheduleJudgement(now time.Time, fp Fingerprint) {
+	delay := s.cfg.JudgementDelay
 	if len(s.routers) <= 1 {
-		hearing = 0
+		delay = 0
 	}
-	// Further news does not put it off: in a large fleet there is always some.
-	if due, is := s.due[content]; !is || due.After(now.Add(hearing)) {
-		s.due[content] = now.Add(hearing)
+	// Further reports do not postpone the judgement: in a large fleet there are always some.
+	if due, ok := s.judgements[fp]; !ok || due.After(now.Add(delay)) {
+		s.judgements[fp] = now.Add(delay)
 	}
 }
 
-// judgeDue refuses those of the contents due for judgement under which enough servers
-// crashed. All are judged before one is refused: a refused one explains the crashes of
-// the others, and of two that nothing tells apart both are refused.
+// judgeDue refuses those of the requests due for judgement during which enough servers
+// crashed. All are judged before one is refused: a refused request explains the crashes of the
+// others, and two that nothing tells apart are both refused.
 func (s *State) judgeDue(now time.Time) {
-	var guilty []Fingerprint
-	for content, at := range s.due {
+	var refusals []Fingerprint
+	for fp, at := range s.judgements {
 		if now.Before(at) {
 			continue
 		}
-		delete(s.due, content)
-		if s.isGuilty(now, content) {
-			guilty = append(guilty, content)
+		delete(s.judgements, fp)
+		if s.shouldRefuse(now, fp) {
+			refusals = append(refusals, fp)
 		}
 	}
-	reasons := make([][]Strike, len(guilty))
-	for i, content := range guilty {
-		reasons[i] = s.reasons(content, s.records[content])
+	reasons := make([][]Strike, len(refusals))
+	for i, fp := range refusals {
+		reasons[i] = s.reasons(fp, s.records[fp])
 	}
-	for i, content := range guilty {
-		s.hold(now, now, content, s.records[content], ByCount, reasons[i])
+	for i, fp := range refusals {
+		s.refuse(now, now, fp, s.records[fp], ByCount, reasons[i])
 	}
 }
 
-// isGuilty reports whether enough servers crashed under the content to refuse it. While
-// another one was at each of these crashes, it is judged again later, when something
-// may tell them apart.
-func (s *State) isGuilty(now time.Time, content Fingerprint) bool {
-	r := s.records[content]
-	if r == nil || !r.held.IsZero() || s.strikes(content, r) < s.cfg.Crashes {
+// shouldRefuse reports whether enough servers crashed while running the request to refuse it.
+// While another request was running at each of these crashes, the judgement is postponed until
+// something may tell them apart.
+func (s *State) shouldRefuse(now time.Time, fp Fingerprint) bool {
+	r := s.records[fp]
+	if r == nil || !r.refusedAt.IsZero() || s.strikes(fp, r) < s.cfg.Crashes {
 		return false
 	}
-	decided := s.counted(r)[s.cfg.Crashes-1].at.Add(s.cfg.TieBreak)
-	if now.Before(decided) && s.hasRival(content, r) {
-		s.due[content] = decided
+	decided := s.countedCrashes(r)[s.cfg.Crashes-1].at.Add(s.cfg.TieBreak)
+	if now.Before(decided) && s.hasRival(fp, r) {
+		s.judgements[fp] = decided
 		return false
 	}
 	return true
 }
 
-// hold refuses the content from now on; since is when that began by the first word.
-func (s *State) hold(now, since time.Time, content Fingerprint, r *record, cause Cause, reasons []Strike) {
-	if len(s.held) >= s.cfg.MostHeld {
-		s.dropOldestHeld()
-	}
-	s.held[content] = r
-	r.held, r.reasons, r.trials = since, reasons, 0
-	s.emit(Event{Kind: Confirmed, Content: content, Cause: cause, Strikes: reasons})
-	s.news.held = append(s.news.held, content)
+// refuse refuses the request from now on; since is the earliest reported start of the
+// refusals.
+func (s *State) refuse(now, since time.Time, fp Fingerprint, r *record, cause Cause, reasons []Strike) {
+	if len(s.refused) >= s.cfg.MaxRefused {
+		s.evictOldestRefusal()
+	}
+	s.refused[fp] = r
+	r.refusedAt, r.reasons, r.probes = since, reasons, 0
+	s.emit(Event{Kind: Confirmed, Content: fp, Cause: cause, Strikes: reasons})
+	s.unsent.refused = append(s.unsent.refused, fp)
 	for _, c := range r.crashes {
 		c.explained = true
 	}
 }
 
-// isExplained reports whether another refused content was at each crash that speaks
-// against the refused one: it may be a bystander of them. It is not free for that, as two
-// that crash servers come together, too.
-func (s *State) isExplained(content Fingerprint, r *record) bool {
+// isExplained reports whether another refused request was running at each crash that counts
+// against the refused one, which then may not have caused any of them. This alone does not
+// clear it, because two requests that crash servers may also run together.
+func (s *State) isExplained(fp Fingerprint, r *record) bool {
 	for _, reason := range r.reasons {
-		if !s.hasOtherHeld(reason.Server, content) {
+		if !s.hasOtherRefused(reason.Server, fp) {
 			return false
 		}
 	}
 	for _, c := range r.crashes {
-		if c.at.After(r.cleared) && !s.hasOtherHeld(c.server, content) {
+		if c.at.After(r.clearedAt) && !s.hasOtherRefused(c.server, fp) {
 			return false
 		}
 	}
 	return len(r.reasons) > 0
 }
 
-// hasOtherHeld reports whether another refused content was at the server when it crashed,
-// by what is known of either.
-func (s *State) hasOtherHeld(server string, content Fingerprint) bool {
+// hasOtherRefused reports whether another refused request is known to have been running at the
+// server when it crashed.
+func (s *State) hasOtherRefused(server string, fp Fingerprint) bool {
 	c := s.crashes[server]
-	for other, r := range s.held {
-		if other == content {
+	for other, r := range s.refused {
+		if other == fp {
 			continue
 		}
 		if c != nil && c.suspects[other] != nil {
@@ -106,12 +107,12 @@
 	return false
 }
 
-// counted returns the crashes that count against the content: those since it was
-// last cleared that no refused request explains.
-func (s *State) counted(r *record) []*crash {
+// countedCrashes returns the crashes that count against the request: those since it was last
+// cleared that no refused request explains.
+func (s *State) countedCrashes(r *record) []*crash {
 	var out []*crash
 	for _, c := range r.crashes {
-		if c.at.After(r.cleared) && !c.explained {
+		if c.at.After(r.clearedAt) && !c.explained {
 			out = append(out, c)
 		}
 	}
@@ -119,53 +120,53 @@
 	return out
 }
 
-// mostOfBurst is the number of crashes at one moment that count where something else
-// ended a server, too: not enough to refuse a request by one moment, and not so few
-// that copies of a culprit sent at once beside another crash take three such moments.
-const mostOfBurst = 2
+// maxBurstStrikes is the number of crashes of one burst that count if another server crashed
+// in it, too. It is too low to refuse a request after one burst, and high enough that copies
+// of a crashing request sent at once beside another crash do not take three such bursts.
+const maxBurstStrikes = 2
 
-// strikes is the number of crashes that count. Of several at one moment only some do
-// where further servers crashed that the request did not run at: then it may have been
-// something else that ended them all.
-func (s *State) strikes(content Fingerprint, r *record) int {
-	n, ofBurst := 0, 0
+// strikes returns the number of crashes that count. Of a burst only some count if a server on
+// which the request did not run crashed in it, too: then another cause may have ended them
+// all.
+func (s *State) strikes(fp Fingerprint, r *record) int {
+	n, inBurst := 0, 0
 	var burst time.Time
-	for _, c := range s.counted(r) {
-		if n == 0 || c.at.Sub(burst) > s.cfg.Burst {
-			burst, ofBurst = c.at, 0
+	for _, c := range s.countedCrashes(r) {
+		if n == 0 || c.at.Sub(burst) > s.cfg.BurstWindow {
+			burst, inBurst = c.at, 0
 		}
-		ofBurst++
-		if ofBurst <= mostOfBurst || !s.otherCrash(content, burst) {
+		inBurst++
+		if inBurst <= maxBurstStrikes || !s.hasOtherCrash(fp, burst) {
 			n++
 		}
 	}
 	return n
 }
 
-// otherCrash reports whether a server crashed within a burst's time of the moment
-// that the content did not run at.
-func (s *State) otherCrash(content Fingerprint, at time.Time) bool {
-	return slices.ContainsFunc(s.order, func(c *crash) bool {
-		_, there := c.suspects[content]
-		return !there && c.at.Sub(at).Abs() <= s.cfg.Burst
+// hasOtherCrash reports whether a server on which the request did not run crashed within
+// BurstWindow of the given time.
+func (s *State) hasOtherCrash(fp Fingerprint, at time.Time) bool {
+	return slices.ContainsFunc(s.crashOrder, func(c *crash) bool {
+		_, ran := c.suspects[fp]
+		return !ran && c.at.Sub(at).Abs() <= s.cfg.BurstWindow
 	})
 }
 
-// hasRival reports whether another content, neither refused nor cleared since, was
-// there at each crash that counts.
-func (s *State) hasRival(content Fingerprint, r *record) bool {
-	counted := s.counted(r)
+// hasRival reports whether another request, neither refused nor cleared since, was running at
+// each crash that counts.
+func (s *State) hasRival(fp Fingerprint, r *record) bool {
+	counted := s.countedCrashes(r)
 	if len(counted) == 0 {
 		return false
 	}
 	for rival := range counted[0].suspects {
 		other := s.records[rival]
-		if rival == content || other == nil || !other.held.IsZero() {
+		if rival == fp || other == nil || !other.refusedAt.IsZero() {
 			continue
 		}
 		if !slices.ContainsFunc(counted, func(c *crash) bool {
-			_, there := c.suspects[rival]
-			return !there || !c.at.After(other.cleared)
+			_, ran := c.suspects[rival]
+			return !ran || !c.at.After(other.clearedAt)
 		}) {
 			return true
 		}
@@ -173,10 +174,10 @@
 	return false
 }
 
-func (s *State) reasons(content Fingerprint, r *record) []Strike {
+func (s *State) reasons(fp Fingerprint, r *record) []Strike {
 	var out []Strike
-	for _, c := range s.counted(r) {
-		out = append(out, Strike{Server: c.server, At: c.at, Told: slices.Clone(c.suspects[content])})
+	for _, c := range s.countedCrashes(r) {
+		out = append(out, Strike{Server: c.server, At: c.at, Told: slices.Clone(c.suspects[fp])})
 	}
 	return out
 }
--- a/coordination/quarantine/keep.go
+++ b/coordination/quarantine/keep.go
@@ -2,60 +2,60 @@
 
 import "time"
 
-// What is refused is entered in the store by one router of the fleet, so that it
-// outlives them all.
+// One router of the fleet writes each refusal to the store, so that it survives the loss of
+// all routers.
 
-// ToKeep returns the refused contents that this router is to enter in the store, or
-// to enter again, as half of an entry's life is over.
-func (s *State) ToKeep(now time.Time, life time.Duration) []Entry {
+// ToKeep returns the refused requests that this router has to write to the store, or to write
+// again because half of the entry's life is over.
+func (s *State) ToKeep(now time.Time, ttl time.Duration) []Entry {
 	var out []Entry
-	for _, one := range s.List() {
-		if s.owner(one.Content) == s.self && now.Sub(s.records[one.Content].kept) >= life/2 {
-			out = append(out, one)
+	for _, entry := range s.List() {
+		if s.owner(entry.Content) == s.self && now.Sub(s.records[entry.Content].storedAt) >= ttl/2 {
+			out = append(out, entry)
 		}
 	}
 	return out
 }
 
-// Kept notes that the content was entered.
-func (s *State) Kept(now time.Time, content Fingerprint) {
-	if r := s.records[content]; r != nil {
-		r.kept = now
+// Kept records that the refusal was written to the store.
+func (s *State) Kept(now time.Time, fp Fingerprint) {
+	if r := s.records[fp]; r != nil {
+		r.storedAt = now
 	}
 }
 
-// ToDrop returns the contents that this router entered and that are not refused any
+// ToDrop returns the requests that this router wrote to the store and that are not refused any
 // more.
 func (s *State) ToDrop() []Fingerprint {
 	var out []Fingerprint
-	for content, r := range s.records {
-		if !r.kept.IsZero() && r.held.IsZero() {
-			out = append(out, content)
+	for fp, r := range s.records {
+		if !r.storedAt.IsZero() && r.refusedAt.IsZero() {
+			out = append(out, fp)
 		}
 	}
 	return out
 }
 
-// Dropped notes that the content's entry was removed.
-func (s *State) Dropped(content Fingerprint) {
-	if r := s.records[content]; r != nil {
-		r.kept = time.Time{}
+// Dropped records that the request's entry was removed from the store.
+func (s *State) Dropped(fp Fingerprint) {
+	if r := s.records[fp]; r != nil {
+		r.storedAt = time.Time{}
 	}
 }
 
-// Stored takes what the store has. Its times are of the clock of whoever wrote them; a
-// later one than now counts as now.
+// Stored merges the entries of the store. Their times are from the clock of whoever wrote
+// them; a time later than now counts as now.
 func (s *State) Stored(now time.Time, entries []Entry) {
 	var report Report
-	for _, one := range entries {
-		held := HeldReport{Content: one.Content, Age: max(now.Sub(one.Since), 0), Trials: one.Trials}
-		for _, strike := range one.Reasons {
-			held.Reasons = append(held.Reasons, StrikeReport{Server: strike.Server, Age: max(now.Sub(strike.At), 0)})
+	for _, entry := range entries {
+		refusal := HeldReport{Content: entry.Content, Age: max(now.Sub(entry.Since), 0), Trials: entry.Trials}
+		for _, strike := range entry.Reasons {
+			refusal.Reasons = append(refusal.Reasons, StrikeReport{Server: strike.Server, Age: max(now.Sub(strike.At), 0)})
 		}
-		report.Held = append(report.Held, held)
+		report.Held = append(report.Held, refusal)
 	}
-	s.Told(now, storeTold, report)
+	s.Told(now, storeReporter, report)
 }
 
-// storeTold stands for the store among the routers that told something.
-const storeTold = "store"
+// storeReporter stands for the store among the routers that reported something.
+const storeReporter = "store"
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -8,70 +8,70 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Verdict says what becomes of a request.
+// Verdict is the decision on whether a request may be sent.
 type Verdict int
 
-// Verdicts.
 const (
-	// Pass: nothing speaks against it.
+	// Pass: the request may be sent.
 	Pass Verdict = iota
-	// Wait: one attempt of it is at a server, and servers crashed under earlier
-	// ones; it may come back when that one has ended.
+	// Wait: servers crashed during earlier attempts of the request, and one attempt of it is
+	// in flight; the caller may retry when that one has ended.
 	Wait
-	// Refuse: it crashes the servers that run it.
+	// Refuse: the request crashes the servers that run it.
 	Refuse
 )
 
-// strikesAlone is the number of crashes under a request from which one attempt of
-// it at a time runs for this router, and no repeat of the router's own.
-const strikesAlone = 2
+// strikesToSerialize is the number of strikes from which this router runs one attempt of a
+// request at a time and no longer retries it by itself.
+const strikesToSerialize = 2
 
-// State is what one router knows of crashes and of the requests under which they
-// came. It must be used by one goroutine at a time. Invariants: what is known of
-// crashes is a union over all routers, so that any order of messages leads to the
-// same; a request is refused only with the crashes that it is refused for.
+// State is what one router knows about crashes and about the requests that ran during them. It
+// must be used by one goroutine at a time. Invariants: the set of known crashes is a union
+// over all routers, so that the order of messages does not matter; a refusal always comes with
+// the crashes that it is based on.
 type State struct {
 	cfg Config
-	// self is this router's id, and routers those of the fleet.
+	// self is this router's id, and routers the ids of the fleet.
 	self    string
 	routers []string
 
-	hosts    map[string]*host
-	inFlight map[Fingerprint]int
-	sound    soundList
+	incarnations map[string]*incarnation
+	inFlight     map[Fingerprint]int
+	successes    successList
 
 	crashes map[string]*crash
-	// order holds the crashes as they became known.
-	order   []*crash
-	records map[Fingerprint]*record
-	// held are those of the records that are refused.
-	held map[Fingerprint]*record
-	// due are the contents to be judged, and when.
-	due map[Fingerprint]time.Time
+	// crashOrder holds the crashes in the order in which they became known.
+	crashOrder []*crash
+	records    map[Fingerprint]*record
+	// refused is the subset of records that are refused.
+	refused map[Fingerprint]*record
+	// judgements maps each fingerprint to be judged to the time when that is due.
+	judgements map[Fingerprint]time.Time
 	// events are those that Events has not returned yet.
 	events []Event
-	news   news
-	// turn is where the next telling of refused contents begins.
-	turn int
+	unsent unsentChanges
+	// nextRefusal is the index of the refused fingerprint with which the next periodic report
+	// begins.
+	nextRefusal int
 }
 
-// record is what is known of one content.
+// record is what is known about one request fingerprint.
 type record struct {
 	crashes []*crash
-	// cleared is when it was last known to be sound: earlier crashes do not
+	// clearedAt is when the request was last known to be harmless: earlier crashes do not
 	// count.
-	cleared time.Time
-	// clearedHere tells that this router found that out, or its operator: only
-	// one tells it, as each hop would make it a little later.
-	clearedHere bool
-	// held is since when it is refused; zero while it is not.
-	held time.Time
-	// reasons are the crashes that it is refused for.
+	clearedAt time.Time
+	// clearedLocally is set if this router or its operator cleared the request. Only that
+	// router reports it, because the time would move a little later with each hop.
+	clearedLocally bool
+	// refusedAt is when the refusals started; zero while the request is not refused.
+	refusedAt time.Time
+	// reasons are the crashes that the refusal is based on.
 	reasons []Strike
-	// trials is the number of sends that were allowed since.
-	trials int
-	// kept is when this router entered it in the store last; zero if it did not.
-	kept time.Time
+	// probes is the number of probe requests since the refusals started.
+	probes int
+	// storedAt is when this router last wrote the refusal to the store; zero if it did not.
+	storedAt time.Time
 }
 
 // Strike is a crash that counts against a request.
@@ -79,105 +79,107 @@
 	// Server is the identity of the incarnation that crashed.
 	Server string
 	At     time.Time
-	// Told are the routers that named the request among those that ran there.
+	// Told are the routers that reported the request among those that ran there.
 	Told []string
 }
 
-// New returns the state of a router that knows nothing.
+// New returns the state of a router without any crashes.
 func New(cfg Config, self string) *State {
 	return &State{
-		cfg: cfg, self: self, hosts: make(map[string]*host), inFlight: make(map[Fingerprint]int), sound: newSoundList(cfg.MostSound),
-		crashes: make(map[string]*crash), records: make(map[Fingerprint]*record), held: make(map[Fingerprint]*record), due: make(map[Fingerprint]time.Time),
+		cfg: cfg, self: self, incarnations: make(map[string]*incarnation), inFlight: make(map[Fingerprint]int), successes: newSuccessList(cfg.MaxSuccesses),
+		crashes: make(map[string]*crash), records: make(map[Fingerprint]*record), refused: make(map[Fingerprint]*record), judgements: make(map[Fingerprint]time.Time),
 	}
 }
 
-// SetRouters sets the ids of the fleet's routers, by which one of them is chosen
-// for each trial.
+// SetRouters sets the ids of the fleet's routers, one of which is chosen for each probe
+// request.
 func (s *State) SetRouters(ids []string) { s.routers = slices.Clone(ids) }
 
-// Check says whether the request may be sent now.
-func (s *State) Check(now time.Time, content Fingerprint) Verdict {
-	if at, is := s.due[content]; is && !now.Before(at) {
+// Check reports whether the request may be sent now.
+func (s *State) Check(now time.Time, fp Fingerprint) Verdict {
+	if at, ok := s.judgements[fp]; ok && !now.Before(at) {
 		s.judgeDue(now)
 	}
-	r := s.records[content]
+	r := s.records[fp]
 	switch {
 	case r == nil:
 		return Pass
-	case !r.held.IsZero():
-		if s.mayTry(now, content, r) {
+	case !r.refusedAt.IsZero():
+		if s.mayProbe(now, fp, r) {
 			return Pass
 		}
 		return Refuse
-	case s.inFlight[content] > 0 && s.strikes(content, r) >= strikesAlone:
+	case s.inFlight[fp] > 0 && s.strikes(fp, r) >= strikesToSerialize:
 		return Wait
 	default:
 		return Pass
 	}
 }
 
-// mayTry reports whether a refused request may be sent once more: at one router
-// of the fleet, and one at a time.
-func (s *State) mayTry(now time.Time, content Fingerprint, r *record) bool {
-	if s.inFlight[content] > 0 {
+// mayProbe reports whether a refused request may be sent as a probe: by one router of the
+// fleet, and one at a time.
+func (s *State) mayProbe(now time.Time, fp Fingerprint, r *record) bool {
+	if s.inFlight[fp] > 0 {
 		return false
 	}
-	since := now.Sub(r.held)
-	due := s.trialDue(since, r.trials)
-	if !due && (r.trials == 0 || s.trialDue(since, r.trials-1)) {
-		// A bystander of others must not wait for as long as what crashes servers.
-		due = since >= s.cfg.ExplainedTrial && s.isExplained(content, r)
+	since := now.Sub(r.refusedAt)
+	due := s.probeDue(since, r.probes)
+	if !due && (r.probes == 0 || s.probeDue(since, r.probes-1)) {
+		// A request that was only running beside other refused ones gets its probe earlier
+		// than one that crashes servers.
+		due = since >= s.cfg.ExplainedProbeAfter && s.isExplained(fp, r)
 	}
-	return due && s.owner(content) == s.self
+	return due && s.owner(fp) == s.self
 }
 
-// trialDue reports whether it is time for the trial of that number.
-func (s *State) trialDue(since time.Duration, n int) bool {
-	return n < len(s.cfg.Trials) && since >= s.cfg.Trials[n]
+// probeDue reports whether it is time for probe number n.
+func (s *State) probeDue(since time.Duration, n int) bool {
+	return n < len(s.cfg.ProbeAfter) && since >= s.cfg.ProbeAfter[n]
 }
 
-// owner is the router that may try the content, by rendezvous hashing.
-func (s *State) owner(content Fingerprint) string {
+// owner returns the router that may send probes for the request, by rendezvous hashing.
+func (s *State) owner(fp Fingerprint) string {
 	if len(s.routers) == 0 {
 		return s.self
 	}
 	return slices.MaxFunc(s.routers, func(a, b string) int {
-		return cmp.Compare(xxhash.Sum64String(content.String()+a), xxhash.Sum64String(content.String()+b))
+		return cmp.Compare(xxhash.Sum64String(fp.String()+a), xxhash.Sum64String(fp.String()+b))
 	})
 }
 
-// MayRepeat reports whether the router may send the request to a further server by
-// itself. A bystander of one crash is repeated; what met two is left to its caller,
-// who comes back to what the fleet knows by then.
-func (s *State) MayRepeat(content Fingerprint) bool {
-	r := s.records[content]
-	return r == nil || r.held.IsZero() && s.strikes(content, r) < strikesAlone
+// MayRepeat reports whether the router may retry the request on another server by itself. A
+// request that was running during one crash is retried; after two it is left to its caller,
+// who retries when the fleet knows more.
+func (s *State) MayRepeat(fp Fingerprint) bool {
+	r := s.records[fp]
+	return r == nil || r.refusedAt.IsZero() && s.strikes(fp, r) < strikesToSerialize
 }
 
-// Reasons are the crashes that the content is refused for; none when it is not.
-func (s *State) Reasons(content Fingerprint) []Strike {
-	if r := s.records[content]; r != nil {
+// Reasons returns the crashes that the refusal is based on; none if the request is not
+// refused.
+func (s *State) Reasons(fp Fingerprint) []Strike {
+	if r := s.records[fp]; r != nil {
 		return r.reasons
 	}
 	return nil
 }
 
-// Suspects is the number of contents, none of them refused, against which a crash
-// counts.
+// Suspects is the number of requests that are not refused but have a crash counted against
+// them.
 func (s *State) Suspects() int {
 	n := 0
 	for _, r := range s.records {
-		if r.held.IsZero() && len(s.counted(r)) > 0 {
+		if r.refusedAt.IsZero() && len(s.countedCrashes(r)) > 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// Held is the number of contents that are refused.
-func (s *State) Held() int { return len(s.held) }
+// Held is the number of refused requests.
+func (s *State) Held() int { return len(s.refused) }
 
-// Entry is a refused content, for operators.
+// Entry is a refused request as listed to operators and kept in the store.
 type Entry struct {
 	Content Fingerprint
 	Since   time.Time
@@ -185,11 +187,11 @@
 	Reasons []Strike
 }
 
-// List returns the refused contents, the latest first.
+// List returns the refused requests, the latest first.
 func (s *State) List() []Entry {
 	var out []Entry
-	for content, r := range s.held {
-		out = append(out, Entry{Content: content, Since: r.held, Trials: r.trials, Reasons: r.reasons})
+	for fp, r := range s.refused {
+		out = append(out, Entry{Content: fp, Since: r.refusedAt, Trials: r.probes, Reasons: r.reasons})
 	}
 	slices.SortFunc(out, func(a, b Entry) int {
 		return cmp.Or(b.Since.Compare(a.Since), cmp.Compare(a.Content, b.Content))
@@ -197,29 +199,28 @@
 	return out
 }
 
-// Release takes a content off the list at an operator's word. It reports whether
-// anything was known of it.
-func (s *State) Release(now time.Time, content Fingerprint) bool {
-	if s.records[content] == nil {
+// Release lifts the refusal of a request on behalf of an operator. It reports whether anything
+// was known about the request.
+func (s *State) Release(now time.Time, fp Fingerprint) bool {
+	if s.records[fp] == nil {
 		return false
 	}
-	s.clear(now, now, content, ByOperator)
+	s.clear(now, now, fp, ByOperator)
 	return true
 }
 
-// Tick forgets what is too old. It is to be called several times a second.
+// Tick judges what is due and drops expired data. It must be called several times a second.
 func (s *State) Tick(now time.Time) {
-	s.settle(now)
+	s.settleRuns(now)
 	s.judgeDue(now)
-	s.forget(now)
+	s.expire(now)
 }
 
-// EventKind says what changed.
+// EventKind is the kind of an event.
 type EventKind string
 
-// Kinds of events.
 const (
-	// Crashed: a server crashed, by this router's own observation.
+	// Crashed: this router observed the crash of a server.
 	Crashed EventKind = "crashed"
 	// Confirmed: a request is refused from now on.
 	Confirmed EventKind = "confirmed"
@@ -227,35 +228,33 @@
 	Cleared EventKind = "cleared"
 )
 
-// Cause says why a request was confirmed or cleared.
+// Cause is the reason why a request was confirmed or cleared.
 type Cause string
 
-// Causes.
 const (
-	// ByCount: enough servers crashed under it.
+	// ByCount: enough servers crashed while running the request.
 	ByCount Cause = "crashes"
-	// ByPeer: another router told so.
+	// ByPeer: another router reported it.
 	ByPeer Cause = "peer"
-	// BySuccess: it ran well.
+	// BySuccess: the request ran to completion and its server stayed up.
 	BySuccess Cause = "success"
-	// ByOperator: an operator took it off the list.
+	// ByOperator: an operator lifted the refusal.
 	ByOperator Cause = "operator"
 )
 
-// Event is a change of what the router believes.
+// Event is a change in what the router knows.
 type Event struct {
 	Kind    EventKind
 	Content Fingerprint
 	Cause   Cause
-	// Server that crashed, and the number of contents that ran there for this
-	// router.
+	// Server that crashed, and the number of requests that this router had running there.
 	Server   string
 	Suspects int
-	// Strikes are the crashes that count, of a confirmed request.
+	// Strikes are the crashes that count against a confirmed request.
 	Strikes []Strike
 }
 
-// Events returns what changed since the last call.
+// Events returns the events since the last call.
 func (s *State) Events() []Event {
 	out := s.events
 	s.events = nil
--- a/coordination/quarantine/runs.go
+++ b/coordination/quarantine/runs.go
@@ -5,72 +5,77 @@
 // Ending is how a run ended.
 type Ending int
 
-// Endings of a run.
 const (
-	// NotRun: the server did not take the request.
+	// NotRun: the server did not accept the request.
 	NotRun Ending = iota
-	// Complete: the server gave its whole answer, of whatever status.
+	// Complete: the server sent its whole answer, of whatever status.
 	Complete
-	// Broken: the connection ended before the answer was whole.
+	// Broken: the connection ended before the answer was complete.
 	Broken
-	// Left: the router ended it, as its caller left or its time was over.
+	// Left: the router cancelled the run, because its caller disconnected or its deadline
+	// passed.
 	Left
 )
 
 // Run is one send of a request to a server.
 type Run struct {
-	content Fingerprint
-	server  string
-	ending  Ending
-	ended   bool
-	// trial tells that the content was refused when it was sent.
-	trial bool
-	// at is when it ended, and until how long a crash of its server counts.
-	at, until time.Time
+	fp     Fingerprint
+	server string
+	ending Ending
+	ended  bool
+	// probe is set if the request was refused when it was sent.
+	probe bool
+	// endedAt is when the run ended; until suspectUntil a crash of its server counts against
+	// the request.
+	endedAt, suspectUntil time.Time
 }
 
-// host is what runs, or ran just now, at one incarnation of a server.
-type host struct {
-	runs map[*Run]struct{}
-	past []*Run
-	// alive is when it last answered anybody.
-	alive time.Time
+// incarnation holds the runs in flight and the recently ended ones of one incarnation of a
+// server.
+type incarnation struct {
+	runs  map[*Run]struct{}
+	ended []*Run
+	// lastResponse is when the server last answered any request.
+	lastResponse time.Time
 }
 
-// outlived reports whether the server is known to have outlived the run.
-func (h *host) outlived(r *Run, by time.Duration) bool { return h.alive.Sub(r.at) >= by }
+// survived reports whether the server is known to have stayed up for the given time after the
+// run.
+func (h *incarnation) survived(r *Run, by time.Duration) bool {
+	return h.lastResponse.Sub(r.endedAt) >= by
+}
 
-// Begin notes that the request is sent to the server.
-func (s *State) Begin(content Fingerprint, server string) *Run {
-	h := s.hosts[server]
+// Begin records that the request is sent to the server.
+func (s *State) Begin(fp Fingerprint, server string) *Run {
+	h := s.incarnations[server]
 	if h == nil {
-		h = &host{runs: make(map[*Run]struct{})}
-		s.hosts[server] = h
+		h = &incarnation{runs: make(map[*Run]struct{})}
+		s.incarnations[server] = h
 	}
-	r := &Run{content: content, server: server}
-	if known := s.records[content]; known != nil {
-		r.trial = !known.held.IsZero()
+	r := &Run{fp: fp, server: server}
+	if known := s.records[fp]; known != nil {
+		r.probe = !known.refusedAt.IsZero()
 	}
 	h.runs[r] = struct{}{}
-	s.inFlight[content]++
+	s.inFlight[fp]++
 	return r
 }
 
-// End notes how the run ended. Only its first end counts.
+// End records how the run ended. Only the first call for a run counts.
 func (s *State) End(now time.Time, r *Run, how Ending) {
 	if r.ended {
 		return
 	}
-	r.ended, r.ending, r.at = true, how, now
-	if s.inFlight[r.content]--; s.inFlight[r.content] <= 0 {
-		delete(s.inFlight, r.content)
+	r.ended, r.ending, r.endedAt = true, how, now
+	if s.inFlight[r.fp]--; s.inFlight[r.fp] <= 0 {
+		delete(s.inFlight, r.fp)
 	}
-	if known := s.records[r.content]; r.trial && how != NotRun && known != nil {
-		known.trials++
+	if known := s.records[r.fp]; r.probe && how != NotRun && known != nil {
+		known.probes++
 	}
-	h := s.hosts[r.server]
+	h := s.incarnations[r.server]
 	if h == nil {
-		// Its server crashed meanwhile, and the run counted as one of its.
+		// The server crashed meanwhile, and the run was counted as one of its suspects.
 		return
 	}
 	delete(h.runs, r)
@@ -78,26 +83,26 @@
 	case NotRun:
 		return
 	case Broken:
-		r.until = now.Add(s.cfg.Doubt)
+		r.suspectUntil = now.Add(s.cfg.CrashConfirmTimeout)
 	case Complete:
-		h.alive = now
-		r.until = now.Add(s.cfg.Settle)
+		h.lastResponse = now
+		r.suspectUntil = now.Add(s.cfg.Settle)
 	default:
-		r.until = now.Add(s.cfg.Settle)
+		r.suspectUntil = now.Add(s.cfg.Settle)
 	}
-	h.past = append(h.past, r)
+	h.ended = append(h.ended, r)
 }
 
-// Gone notes that the store has no entry of the server any more, or one of a later
-// incarnation, though it had not announced that it leaves. Only answers that broke
-// off there tell that it crashed: others may still run.
+// Gone records that the store no longer has an entry of this incarnation, or has one of a
+// later incarnation, although the server had not announced its shutdown. This counts as a
+// crash only if an answer of the server was interrupted: otherwise it may still be running.
 func (s *State) Gone(now time.Time, server string) {
-	h := s.hosts[server]
+	h := s.incarnations[server]
 	if h == nil {
 		return
 	}
-	for _, r := range h.past {
-		if r.ending == Broken && r.until.After(now) {
+	for _, r := range h.ended {
+		if r.ending == Broken && r.suspectUntil.After(now) {
 			clear(h.runs)
 			s.Crash(now, server)
 			return
@@ -105,100 +110,100 @@
 	}
 }
 
-// Alive notes that the server answers or takes connections: what broke off before was
-// cut on its way, unless it crashes right now.
+// Alive records that the server answers or accepts connections: earlier interrupted answers
+// were cut off by the network, unless the server crashes right after.
 func (s *State) Alive(now time.Time, server string) {
-	h := s.hosts[server]
+	h := s.incarnations[server]
 	if h == nil {
 		return
 	}
-	h.alive = now
-	for _, r := range h.past {
-		if until := now.Add(s.cfg.Settle); r.ending == Broken && r.until.After(until) {
-			r.until = until
+	h.lastResponse = now
+	for _, r := range h.ended {
+		if until := now.Add(s.cfg.Settle); r.ending == Broken && r.suspectUntil.After(until) {
+			r.suspectUntil = until
 		}
 	}
 }
 
-// settle looks at runs whose servers outlived them.
-func (s *State) settle(now time.Time) {
-	for server, h := range s.hosts {
-		keep := h.past[:0]
-		for _, r := range h.past {
-			past := !r.until.After(now)
+// settleRuns clears the requests of completed runs that the server survived, and drops runs
+// whose time is over.
+func (s *State) settleRuns(now time.Time) {
+	for server, h := range s.incarnations {
+		keep := h.ended[:0]
+		for _, r := range h.ended {
+			expired := !r.suspectUntil.After(now)
 			switch {
-			case r.ending == Complete && (past || h.outlived(r, s.cfg.Outlive)):
-				s.sound.add(r.content, r.at)
-				s.clear(now, r.at.Add(s.cfg.SoundFor), r.content, BySuccess)
-			case !past:
+			case r.ending == Complete && (expired || h.survived(r, s.cfg.Outlive)):
+				s.successes.add(r.fp, r.endedAt)
+				s.clear(now, r.endedAt.Add(s.cfg.SuccessTTL), r.fp, BySuccess)
+			case !expired:
 				keep = append(keep, r)
 			}
 		}
-		clear(h.past[len(keep):])
-		h.past = keep
-		if len(h.past) == 0 && len(h.runs) == 0 {
-			delete(s.hosts, server)
+		clear(h.ended[len(keep):])
+		h.ended = keep
+		if len(h.ended) == 0 && len(h.runs) == 0 {
+			delete(s.incarnations, server)
 		}
 	}
 }
 
-// suspects returns the contents that ran at the server, but those that are known
-// to be sound.
+// suspects returns the requests that were running at the server, except those known to be
+// harmless.
 func (s *State) suspects(now time.Time, server string) map[Fingerprint]struct{} {
-	h := s.hosts[server]
+	h := s.incarnations[server]
 	if h == nil {
 		return nil
 	}
 	out := make(map[Fingerprint]struct{})
-	add := func(content Fingerprint) {
-		if len(out) < s.cfg.MostSuspects && !s.sound.since(content, now.Add(-s.cfg.SoundFor)) {
-			out[content] = struct{}{}
+	add := func(fp Fingerprint) {
+		if len(out) < s.cfg.MaxSuspects && !s.successes.since(fp, now.Add(-s.cfg.SuccessTTL)) {
+			out[fp] = struct{}{}
 		}
 	}
-	// Those that broke off come first, as they are the likeliest.
+	// Runs in flight and interrupted ones come first, as they are the likeliest cause.
 	for r := range h.runs {
-		add(r.content)
+		add(r.fp)
 	}
-	for _, r := range h.past {
-		if r.ending == Broken && r.until.After(now) {
-			add(r.content)
+	for _, r := range h.ended {
+		if r.ending == Broken && r.suspectUntil.After(now) {
+			add(r.fp)
 		}
 	}
-	for _, r := range h.past {
-		if r.ending != Broken && r.until.After(now) && !h.outlived(r, s.cfg.Outlive) {
-			add(r.content)
+	for _, r := range h.ended {
+		if r.ending != Broken && r.suspectUntil.After(now) && !h.survived(r, s.cfg.Outlive) {
+			add(r.fp)
 		}
 	}
 	return out
 }
 
-// soundList holds the contents that ran well last, a bounded number.
-type soundList struct {
+// successList holds the times of the latest successful runs, for a limited number of requests.
+type successList struct {
 	at   map[Fingerprint]time.Time
 	ring []Fingerprint
 	next int
 }
 
-func newSoundList(most int) soundList {
-	return soundList{at: make(map[Fingerprint]time.Time), ring: make([]Fingerprint, most)}
+func newSuccessList(capacity int) successList {
+	return successList{at: make(map[Fingerprint]time.Time), ring: make([]Fingerprint, capacity)}
 }
 
-// add notes that the content ran well at the time.
-func (l *soundList) add(content Fingerprint, at time.Time) {
-	if _, known := l.at[content]; !known {
+// add records a successful run at the given time.
+func (l *successList) add(fp Fingerprint, at time.Time) {
+	if _, known := l.at[fp]; !known {
 		delete(l.at, l.ring[l.next])
-		l.ring[l.next] = content
+		l.ring[l.next] = fp
 		l.next = (l.next + 1) % len(l.ring)
 	}
-	l.at[content] = at
+	l.at[fp] = at
 }
 
-// last returns when the content ran well last; the zero time when that is not
-// known.
-func (l *soundList) last(content Fingerprint) time.Time { return l.at[content] }
+// last returns when the request last ran successfully, or the zero time if that is not known.
+func (l *successList) last(fp Fingerprint) time.Time { return l.at[fp] }
 
-// since reports whether the content ran well at or after the time.
-func (l *soundList) since(content Fingerprint, from time.Time) bool {
-	at, known := l.at[content]
+// since reports whether the request ran successfully at or after the given time.
+func (l *successList) since(fp Fingerprint, from time.Time) bool {
+	at, known := l.at[fp]
 	return known && !at.Before(from)
 }
--- a/coordination/quarantine/small_test.go
+++ b/coordination/quarantine/small_test.go
@@ -9,55 +9,55 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The pattern of these tests: a service of three servers, two callers who each insist on
-// a request that crashes servers, and routers that start anew, one after the other. All
-// servers may be away at once, the two are at the same servers, a bystander meets three
-// crashes in a second, and who knew it to be sound may have forgotten it. What is
-// refused wrongly then is what all callers ask for.
+// These tests simulate a service of three servers, two callers who each keep sending a request
+// that crashes servers, and routers that restart one after the other. All servers may be down
+// at once, both requests may run at the same servers, another request may be running during
+// three crashes within a second, and routers that knew it to be harmless may have restarted.
+// Wrong refusals then hit the requests that all callers send.
 
-// Figures of the small service.
+// Parameters of the simulation.
 const (
 	smallSpan  = 16 * time.Second
 	smallGap   = 12 * time.Millisecond
 	smallRun   = 200 * time.Millisecond
-	smallAgain = time.Second
-	// commonEvery is how often a request asks for one of the commonContents that
-	// others ask for, too.
+	smallRetry = time.Second
+	// One request in commonEvery is one of the commonRequests that several callers send.
 	commonEvery    = 5
-	commonContents = 20
-	// insistedOn is the number of contents that crash servers.
-	insistedOn   = 2
-	restartMost  = 8 * time.Second
-	insistFrom   = 3 * time.Second
-	smallInsist  = 250 * time.Millisecond
-	smallCopies  = 3
-	smallCrashIn = 60 * time.Millisecond
+	commonRequests = 20
+	// crashingRequests is the number of requests that crash servers.
+	crashingRequests = 2
+	maxRestart       = 8 * time.Second
+	crashingFrom     = 3 * time.Second
+	smallCrashingGap = 250 * time.Millisecond
+	smallCopies      = 3
+	smallCrashIn     = 60 * time.Millisecond
 )
 
-// smallService is a run of the model, and what it counts by content.
+// smallService is a run of the simulation; ended holds the crashes and sent the sends of each
+// request.
 type smallService struct {
 	*model
 	ended, sent map[Fingerprint][]time.Time
 }
 
-func playSmall(seed uint64) *smallService {
+func simulateSmall(seed uint64) *smallService {
 	s := &smallService{
 		model: newModel(fleetSize{routers: 3, servers: 3, span: smallSpan}, seed),
 		ended: make(map[Fingerprint][]time.Time), sent: make(map[Fingerprint][]time.Time),
 	}
-	clear(s.cut)
+	clear(s.blocked)
 	s.load(0)
-	for n := range insistedOn {
-		s.After(insistFrom, func() { s.insist(bad+Fingerprint(n), 0) })
+	for n := range crashingRequests {
+		s.After(crashingFrom, func() { s.sendCrashing(bad+Fingerprint(n), 0) })
 	}
 	for i := range s.routers {
-		s.After(s.between(time.Second, restartMost), func() { s.restart(i) })
+		s.After(s.between(time.Second, maxRestart), func() { s.restart(i) })
 	}
 	s.run()
 	return s
 }
 
-// restart has the router forget all.
+// restart replaces the router by one without any state.
 func (s *smallService) restart(i int) {
 	old := s.routers[i]
 	for _, server := range s.servers {
@@ -71,18 +71,18 @@
 	s.routers[i].SetRouters(old.routers)
 }
 
-// load sends sound requests.
+// load sends harmless requests.
 func (s *smallService) load(n int) {
-	content := Fingerprint(1000 + n)
+	fp := Fingerprint(1000 + n)
 	if n%commonEvery == 0 {
-		content = Fingerprint(100 + s.random.IntN(commonContents))
+		fp = Fingerprint(100 + s.random.IntN(commonRequests))
 	}
-	s.serve(content, 4)
+	s.serve(fp, 4)
 	s.After(time.Duration(s.random.ExpFloat64()*float64(smallGap)), func() { s.load(n + 1) })
 }
 
-// serve sends a sound request; one whose answer broke off comes again.
-func (s *smallService) serve(content Fingerprint, tries int) {
+// serve sends a harmless request; it is retried if its answer is interrupted.
+func (s *smallService) serve(fp Fingerprint, tries int) {
 	if tries == 0 {
 		return
 	}
@@ -90,58 +90,58 @@
 	if server == nil {
 		return
 	}
-	switch router.Check(s.Now, content) {
+	switch router.Check(s.Now, fp) {
 	case Refuse:
-		s.wrong++
+		s.wronglyRefused++
 		return
 	case Wait:
-		s.After(smallAgain/2, func() { s.serve(content, tries-1) })
+		s.After(smallRetry/2, func() { s.serve(fp, tries-1) })
 		return
 	}
-	s.sound++
-	run, life := router.Begin(content, server.name()), server.life
+	s.harmless++
+	run, incarnation := router.Begin(fp, server.name()), server.incarnation
 	server.runs[run] = router
 	s.After(s.between(0, smallRun), func() {
-		if server.alive && server.life == life {
+		if server.alive && server.incarnation == incarnation {
 			delete(server.runs, run)
 			router.End(s.Now, run, Complete)
 			return
 		}
-		s.After(s.between(0, smallAgain), func() { s.serve(content, tries-1) })
+		s.After(s.between(0, smallRetry), func() { s.serve(fp, tries-1) })
 	})
 }
 
-// insist sends a request that crashes servers, at times as several copies.
-func (s *smallService) insist(content Fingerprint, n int) {
+// insist keeps sending a request that crashes servers, sometimes as several copies.
+func (s *smallService) sendCrashing(fp Fingerprint, n int) {
 	copies := 1
 	if n%commonEvery == 0 {
 		copies = smallCopies
 	}
 	for range copies {
 		router, server := s.routers[s.random.IntN(len(s.routers))], s.server()
-		if server == nil || router.Check(s.Now, content) != Pass {
+		if server == nil || router.Check(s.Now, fp) != Pass {
 			continue
 		}
-		s.sent[content] = append(s.sent[content], s.Now)
-		server.runs[router.Begin(content, server.name())] = router
-		life := server.life
+		s.sent[fp] = append(s.sent[fp], s.Now)
+		server.runs[router.Begin(fp, server.name())] = router
+		incarnation := server.incarnation
 		s.After(s.between(0, smallCrashIn), func() {
-			if server.alive && server.life == life {
+			if server.alive && server.incarnation == incarnation {
 				s.crash(server)
-				s.ended[content] = append(s.ended[content], s.Now)
+				s.ended[fp] = append(s.ended[fp], s.Now)
 			}
 		})
 	}
-	s.After(s.between(smallInsist/2, 2*smallInsist), func() { s.insist(content, n+1) })
+	s.After(s.between(smallCrashingGap/2, 2*smallCrashingGap), func() { s.sendCrashing(fp, n+1) })
 }
 
-// mostLate is the greatest number of sends of one content later than the time of contact
-// after the third crash under it.
-func (s *smallService) mostLate() int {
+// maxLate returns the greatest number of sends of one request later than the contact time
+// after its third crash.
+func (s *smallService) maxLate() int {
 	most := 0
-	for content, ended := range s.ended {
+	for fp, ended := range s.ended {
 		late := 0
-		for _, at := range s.sent[content] {
+		for _, at := range s.sent[fp] {
 			if len(ended) >= 3 && at.After(ended[2].Add(contact)) {
 				late++
 			}
@@ -151,48 +151,48 @@
 	return most
 }
 
-// forgotten are the seeds in which all routers start anew within a second or two of the
-// crashes and nobody knows any more who else was there: a bystander stays refused for
-// minutes.
-var forgotten = []uint64{127, 235}
+// allRestartedSeeds are the seeds in which all routers restart within a second or two of the
+// crashes, so that no router knows which other requests were running: a request that did not
+// cause the crashes stays refused for minutes.
+var allRestartedSeeds = []uint64{127, 235}
 
-// Each of the two is sent three times at most once it is known, and no more sound
-// requests are refused than the users bear.
-func TestASmallServiceKnowsTwoRequestsThatCrashIt(t *testing.T) {
+// Each of the two requests is sent at most three times once it is known, and no more harmless
+// requests are refused than the users tolerate.
+func TestSmallServiceRefusesTwoCrashingRequests(t *testing.T) {
 	for seed := range uint64(400) {
-		if !slices.Contains(forgotten, seed) {
+		if !slices.Contains(allRestartedSeeds, seed) {
 			checkSmall(t, seed)
 		}
 	}
 }
 
-// The same where all that was known of the first crashes is lost.
+// The same for the seeds in which all knowledge of the first crashes is lost.
 func TestASmallServiceWhoseRoutersForget(t *testing.T) {
-	for _, seed := range forgotten {
+	for _, seed := range allRestartedSeeds {
 		checkSmall(t, seed)
 	}
 }
 
 func checkSmall(t *testing.T, seed uint64) {
-	s := playSmall(seed)
-	what := qt.Commentf("seed %d: %d late, %d of %d refused wrongly", seed, s.mostLate(), s.wrong, s.sound)
-	qt.Check(t, s.mostLate() <= 3, qt.IsTrue, what)
-	qt.Check(t, s.wrong <= wrongSlack+s.sound/wrongShare, qt.IsTrue, what)
+	s := simulateSmall(seed)
+	what := qt.Commentf("seed %d: %d late, %d of %d wrongly refused", seed, s.maxLate(), s.wronglyRefused, s.harmless)
+	qt.Check(t, s.maxLate() <= 3, qt.IsTrue, what)
+	qt.Check(t, s.wronglyRefused <= wrongSlack+s.harmless/wrongShare, qt.IsTrue, what)
 }
 
-// A router that begins hears what is refused and why, and what crashed earlier: what a
-// refused request did is not counted against the others there.
-func TestARouterThatBeginsKnowsWhatExplainsCrashes(t *testing.T) {
+// A router that starts receives what is refused and why, and the earlier crashes: the crashes
+// of a refused request do not count against the others that ran there.
+func TestStartingRouterReceivesReasons(t *testing.T) {
 	old, fresh := New(DefaultConfig(), "old"), New(DefaultConfig(), "fresh")
 	for i := range 3 {
-		crashUnder(old, at(600*i), fmt.Sprint("i-", i), bad)
+		crashDuring(old, at(600*i), fmt.Sprint("i-", i), bad)
 	}
 	for i := range 3 {
 		suspects := []Fingerprint{good}
 		fresh.Told(at(2000), "third", Report{Crashes: []CrashReport{{Server: fmt.Sprint("i-", i), Age: time.Duration(2000-600*i) * time.Millisecond, Suspects: suspects}}})
-		for _, one := range old.Standing(at(2000)) {
-			// Of these only why it is refused came through.
-			fresh.Told(at(2000), "old", Report{Held: one.Held})
+		for _, report := range old.Standing(at(2000)) {
+			// Of these reports only the refusals with their reasons arrive.
+			fresh.Told(at(2000), "old", Report{Held: report.Held})
 		}
 	}
 	fresh.Tick(at(5000))
@@ -200,15 +200,15 @@
 	qt.Check(t, fresh.Check(at(5000), good), qt.Equals, Pass)
 }
 
-// Nothing explains a request of whose crashes nothing is known.
-func TestWhatIsRefusedWithoutReasonsIsNotExplained(t *testing.T) {
+// A refusal without known crashes is not explained by other refusals.
+func TestRefusalWithoutReasonsIsNotExplained(t *testing.T) {
 	s := New(DefaultConfig(), "a")
 	s.Told(at(0), "b", Report{Held: []HeldReport{{Content: good}, {Content: bad}}})
 	qt.Check(t, s.Check(at(1000), good), qt.Equals, Refuse)
 	qt.Check(t, s.Check(at(1000), bad), qt.Equals, Refuse)
 }
 
-// The cost of a refusal at 800 routers.
+// BenchmarkRefusals measures the cost of a refusal at 800 routers.
 func BenchmarkRefusals(b *testing.B) {
 	for _, held := range []int{1, 32, 1024} {
 		b.Run(fmt.Sprint(held, " refused"), func(b *testing.B) {
@@ -218,12 +218,12 @@
 				routers = append(routers, fmt.Sprint("r-", i))
 			}
 			s.SetRouters(routers)
-			for content := range held {
+			for fp := range held {
 				var reasons []StrikeReport
 				for i := range 3 {
-					reasons = append(reasons, StrikeReport{Server: fmt.Sprint("i-", content, "-", i)})
+					reasons = append(reasons, StrikeReport{Server: fmt.Sprint("i-", fp, "-", i)})
 				}
-				s.Told(at(0), "b", Report{Held: []HeldReport{{Content: Fingerprint(content), Reasons: reasons}}})
+				s.Told(at(0), "b", Report{Held: []HeldReport{{Content: Fingerprint(fp), Reasons: reasons}}})
 			}
 			for b.Loop() {
 				s.Check(at(1000), 0)
--- a/coordination/quarantine/told.go
+++ b/coordination/quarantine/told.go
@@ -5,287 +5,288 @@
 	"time"
 )
 
-// CrashReport tells which contents ran at a server that crashed.
+// CrashReport lists the requests that were running at a server that crashed.
 type CrashReport struct {
 	Server   string
 	Age      time.Duration
 	Suspects []Fingerprint
 }
 
-// HeldReport tells that a content is refused, since when and why.
+// HeldReport states that a request is refused, since when and why.
 type HeldReport struct {
 	Content Fingerprint
 	Age     time.Duration
-	// Trials is the number of sends that were allowed since.
+	// Trials is the number of probe requests since the refusals started.
 	Trials  int
 	Reasons []StrikeReport
 }
 
-// StrikeReport is one crash that a content is refused for.
+// StrikeReport is one crash that a refusal is based on.
 type StrikeReport struct {
 	Server string
 	Age    time.Duration
 }
 
-// ClearedReport tells up to how long ago crashes do not count against a content;
-// the age is negative where the content is known to be sound.
+// ClearedReport states up to how long ago crashes do not count against a request; the age is
+// negative if the request is known to be harmless for some time to come.
 type ClearedReport struct {
 	Content Fingerprint
 	Age     time.Duration
 }
 
-// Report is what a router tells the others. Times are ages, so that no clocks are
-// compared.
+// Report is a message from one router to the others. Times are sent as ages, so that clocks
+// need not be synchronized.
 type Report struct {
 	Crashes []CrashReport
 	Held    []HeldReport
 	Cleared []ClearedReport
 }
 
-// Bounds of a report, so that it fits one packet of 1,400 bytes, and of the
-// reports of one telling.
+// Limits of a report, so that it fits one packet of 1,400 bytes, and of the number of reports
+// sent at once.
 const (
-	reportBytes   = 1200
-	reportsAtOnce = 8
-	// suspectsTogether and reasonsTold bound one part of a report.
-	suspectsTogether = 64
-	reasonsTold      = 5
-	// heldTogether is the number of refused contents in one telling; the others
-	// come with later ones.
-	heldTogether = 64
-	// Sizes of the parts, about as they are written, in bytes.
+	maxReportBytes = 1200
+	maxReports     = 8
+	// maxReportSuspects and maxReportReasons limit one entry of a report.
+	maxReportSuspects = 64
+	maxReportReasons  = 5
+	// refusalsPerRound is the number of refusals in one periodic report; the others follow in
+	// later ones.
+	refusalsPerRound = 64
+	// Approximate encoded sizes of the entries, in bytes.
 	crashBytes       = 8
 	fingerprintBytes = 8
-	heldBytes        = 16
+	refusalBytes     = 16
 	reasonBytes      = 6
 	clearedBytes     = 12
 )
 
-// news is what was not told yet.
-type news struct {
-	crashes       []*crash
-	held, cleared []Fingerprint
+// unsentChanges is what has not been reported yet.
+type unsentChanges struct {
+	crashes          []*crash
+	refused, cleared []Fingerprint
 }
 
-func (n *news) add(c *crash) {
+func (n *unsentChanges) add(c *crash) {
 	if !slices.Contains(n.crashes, c) {
 		n.crashes = append(n.crashes, c)
 	}
 }
 
-func (n *news) remove(c *crash) {
+func (n *unsentChanges) remove(c *crash) {
 	n.crashes = slices.DeleteFunc(n.crashes, func(other *crash) bool { return other == c })
 }
 
-// HasNews reports whether there is something to tell at once.
+// HasNews reports whether there are changes to report at once.
 func (s *State) HasNews() bool {
-	return len(s.news.crashes) > 0 || len(s.news.held) > 0 || len(s.news.cleared) > 0
+	return len(s.unsent.crashes) > 0 || len(s.unsent.refused) > 0 || len(s.unsent.cleared) > 0
 }
 
-// News returns what is new, for all others at once.
+// News returns the unsent changes, to be sent to all other routers at once.
 func (s *State) News(now time.Time) []Report {
 	var p packer
-	for _, c := range s.news.crashes {
-		s.packCrash(&p, now, c, s.ownSuspects(c))
+	for _, c := range s.unsent.crashes {
+		s.packCrash(&p, now, c, s.observedSuspects(c))
 	}
-	for _, content := range s.news.held {
-		s.packHeld(&p, now, content)
+	for _, fp := range s.unsent.refused {
+		s.packRefusal(&p, now, fp)
 	}
-	for _, content := range s.news.cleared {
-		s.packCleared(&p, now, content)
+	for _, fp := range s.unsent.cleared {
+		s.packCleared(&p, now, fp)
 	}
-	s.news = news{}
+	s.unsent = unsentChanges{}
 	return p.done()
 }
 
-// Standing returns what is told again and again, for those who missed it or
-// started since: what is new to this router, what speaks against contents that
-// met several crashes, and what is refused.
+// Standing returns what is reported periodically, for routers that missed it or started since:
+// what this router observed recently, what counts against requests with several crashes, and
+// what is refused.
 func (s *State) Standing(now time.Time) []Report {
 	var p packer
-	for _, c := range s.order {
-		if c.own && now.Sub(c.at) <= s.cfg.News {
-			s.packCrash(&p, now, c, s.ownSuspects(c))
+	for _, c := range s.crashOrder {
+		if c.observedHere && now.Sub(c.at) <= s.cfg.ResendFor {
+			s.packCrash(&p, now, c, s.observedSuspects(c))
 		}
 	}
-	s.packRepeated(&p, now)
-	s.packLasting(&p, now)
+	s.packRepeatedSuspects(&p, now)
+	s.packRefusedAndCleared(&p, now)
 	return p.done()
 }
 
-// packRepeated tells the crashes of contents that met several, whoever saw them.
-func (s *State) packRepeated(p *packer, now time.Time) {
+// packRepeatedSuspects adds the crashes of requests that ran during several, whichever router
+// observed them.
+func (s *State) packRepeatedSuspects(p *packer, now time.Time) {
 	repeated := make(map[*crash][]Fingerprint)
-	for content, r := range s.records {
-		if len(r.crashes) < strikesAlone || !r.held.IsZero() {
+	for fp, r := range s.records {
+		if len(r.crashes) < strikesToSerialize || !r.refusedAt.IsZero() {
 			continue
 		}
-		for _, c := range s.counted(r) {
-			if !c.own || now.Sub(c.at) > s.cfg.News {
-				repeated[c] = append(repeated[c], content)
+		for _, c := range s.countedCrashes(r) {
+			if !c.observedHere || now.Sub(c.at) > s.cfg.ResendFor {
+				repeated[c] = append(repeated[c], fp)
 			}
 		}
 	}
-	for _, c := range s.order {
-		if contents := repeated[c]; len(contents) > 0 {
-			s.packCrash(p, now, c, contents)
+	for _, c := range s.crashOrder {
+		if fps := repeated[c]; len(fps) > 0 {
+			s.packCrash(p, now, c, fps)
 		}
 	}
 }
 
-// packLasting tells what is refused, and what was cleared just now.
-func (s *State) packLasting(p *packer, now time.Time) {
+// packRefusedAndCleared adds what is refused, and what was cleared recently.
+func (s *State) packRefusedAndCleared(p *packer, now time.Time) {
 	refused := s.List()
-	for i := range min(len(refused), heldTogether) {
-		s.packHeld(p, now, refused[(s.turn+i)%len(refused)].Content)
+	for i := range min(len(refused), refusalsPerRound) {
+		s.packRefusal(p, now, refused[(s.nextRefusal+i)%len(refused)].Content)
 	}
-	s.turn += heldTogether
-	for content, r := range s.records {
-		if r.clearedHere && now.Sub(r.cleared) <= s.cfg.News {
-			s.packCleared(p, now, content)
+	s.nextRefusal += refusalsPerRound
+	for fp, r := range s.records {
+		if r.clearedLocally && now.Sub(r.clearedAt) <= s.cfg.ResendFor {
+			s.packCleared(p, now, fp)
 		}
 	}
 }
 
-// ownSuspects are the contents that this router named.
-func (s *State) ownSuspects(c *crash) []Fingerprint {
+// ownSuspects returns the requests that this router reported for the crash.
+func (s *State) observedSuspects(c *crash) []Fingerprint {
 	out := make([]Fingerprint, 0, len(c.suspects))
-	for content, tellers := range c.suspects {
-		if slices.Contains(tellers, s.self) {
-			out = append(out, content)
+	for fp, reporters := range c.suspects {
+		if slices.Contains(reporters, s.self) {
+			out = append(out, fp)
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-func (s *State) packCrash(p *packer, now time.Time, c *crash, contents []Fingerprint) {
-	for first := true; first || len(contents) > 0; first = false {
-		n := min(len(contents), suspectsTogether)
-		p.room(crashBytes + len(c.server) + n*fingerprintBytes)
-		p.report.Crashes = append(p.report.Crashes, CrashReport{Server: c.server, Age: now.Sub(c.at), Suspects: contents[:n]})
-		contents = contents[n:]
+func (s *State) packCrash(p *packer, now time.Time, c *crash, fps []Fingerprint) {
+	for first := true; first || len(fps) > 0; first = false {
+		n := min(len(fps), maxReportSuspects)
+		p.reserve(crashBytes + len(c.server) + n*fingerprintBytes)
+		p.report.Crashes = append(p.report.Crashes, CrashReport{Server: c.server, Age: now.Sub(c.at), Suspects: fps[:n]})
+		fps = fps[n:]
 	}
 }
 
-func (s *State) packHeld(p *packer, now time.Time, content Fingerprint) {
-	r := s.records[content]
-	if r == nil || r.held.IsZero() {
+func (s *State) packRefusal(p *packer, now time.Time, fp Fingerprint) {
+	r := s.records[fp]
+	if r == nil || r.refusedAt.IsZero() {
 		return
 	}
-	one := HeldReport{Content: content, Age: now.Sub(r.held), Trials: r.trials}
-	size := heldBytes
-	for _, strike := range r.reasons[:min(len(r.reasons), reasonsTold)] {
-		one.Reasons = append(one.Reasons, StrikeReport{Server: strike.Server, Age: now.Sub(strike.At)})
+	refusal := HeldReport{Content: fp, Age: now.Sub(r.refusedAt), Trials: r.probes}
+	size := refusalBytes
+	for _, strike := range r.reasons[:min(len(r.reasons), maxReportReasons)] {
+		refusal.Reasons = append(refusal.Reasons, StrikeReport{Server: strike.Server, Age: now.Sub(strike.At)})
 		size += reasonBytes + len(strike.Server)
 	}
-	p.room(size)
-	p.report.Held = append(p.report.Held, one)
+	p.reserve(size)
+	p.report.Held = append(p.report.Held, refusal)
 }
 
-func (s *State) packCleared(p *packer, now time.Time, content Fingerprint) {
-	r := s.records[content]
-	if r == nil || r.cleared.IsZero() {
+func (s *State) packCleared(p *packer, now time.Time, fp Fingerprint) {
+	r := s.records[fp]
+	if r == nil || r.clearedAt.IsZero() {
 		return
 	}
-	p.room(clearedBytes)
-	p.report.Cleared = append(p.report.Cleared, ClearedReport{Content: content, Age: now.Sub(r.cleared)})
+	p.reserve(clearedBytes)
+	p.report.Cleared = append(p.report.Cleared, ClearedReport{Content: fp, Age: now.Sub(r.clearedAt)})
 }
 
-// packer fills reports.
+// packer splits entries over reports of limited size.
 type packer struct {
 	report Report
 	used   int
 	full   []Report
 }
 
-// room begins a further report when the current one cannot take the bytes.
-func (p *packer) room(bytes int) {
-	if p.used > 0 && p.used+bytes > reportBytes {
+// reserve starts another report if the current one has no space for the bytes.
+func (p *packer) reserve(bytes int) {
+	if p.used > 0 && p.used+bytes > maxReportBytes {
 		p.full = append(p.full, p.report)
 		p.report, p.used = Report{}, 0
 	}
 	p.used += bytes
 }
 
-// done returns the reports, up to their greatest number: what is beyond it in a storm
-// of crashes is told by other routers, or not at all.
+// done returns the reports, limited to maxReports: what exceeds it when very many servers
+// crash is reported by other routers, or not at all.
 func (p *packer) done() []Report {
 	if p.used > 0 {
 		p.full = append(p.full, p.report)
 	}
-	return p.full[:min(len(p.full), reportsAtOnce)]
+	return p.full[:min(len(p.full), maxReports)]
 }
 
-// Told takes another router's report.
+// Told merges another router's report.
 func (s *State) Told(now time.Time, router string, report Report) {
-	for _, one := range report.Cleared {
-		s.clear(now, now.Add(-one.Age), one.Content, ByPeer)
+	for _, cleared := range report.Cleared {
+		s.clear(now, now.Add(-cleared.Age), cleared.Content, ByPeer)
 	}
-	for _, one := range report.Crashes {
-		if one.Age > s.cfg.Memory {
+	for _, crash := range report.Crashes {
+		if crash.Age > s.cfg.CrashTTL {
 			continue
 		}
-		s.learn(now, s.crash(now.Add(-one.Age), one.Server), router, s.unvouched(now, one))
+		s.addSuspects(now, s.crash(now.Add(-crash.Age), crash.Server), router, s.dropHarmless(now, crash))
 	}
-	for _, one := range report.Held {
-		s.toldHeld(now, router, one)
+	for _, refusal := range report.Held {
+		s.mergeRefusal(now, router, refusal)
 	}
 }
 
-// unvouched leaves out what this router knows to be sound, and tells that.
-func (s *State) unvouched(now time.Time, one CrashReport) []Fingerprint {
-	return slices.DeleteFunc(slices.Clone(one.Suspects), func(content Fingerprint) bool {
-		return s.vouch(now, now.Add(-one.Age), content)
+// dropHarmless removes the suspects that this router knows to be harmless, and reports that to
+// the others.
+func (s *State) dropHarmless(now time.Time, crash CrashReport) []Fingerprint {
+	return slices.DeleteFunc(slices.Clone(crash.Suspects), func(fp Fingerprint) bool {
+		return s.clearIfHarmless(now, now.Add(-crash.Age), fp)
 	})
 }
 
-// vouch tells the others that the content was sound at the time, if it ran well here
-// shortly before. It reports whether it did.
-func (s *State) vouch(now, at time.Time, content Fingerprint) bool {
-	until := s.sound.last(content).Add(s.cfg.SoundFor)
+// clearIfHarmless clears the request if a successful run ended here shortly before the given
+// time, and has that reported to the others. It reports whether there was one.
+func (s *State) clearIfHarmless(now, at time.Time, fp Fingerprint) bool {
+	until := s.successes.last(fp).Add(s.cfg.SuccessTTL)
 	if until.Before(at) {
 		return false
 	}
-	r := s.record(content)
-	before := r.cleared
-	s.clear(now, until, content, BySuccess)
-	if r.cleared.After(before) && !slices.Contains(s.news.cleared, content) {
-		s.news.cleared = append(s.news.cleared, content)
+	r := s.record(fp)
+	before := r.clearedAt
+	s.clear(now, until, fp, BySuccess)
+	if r.clearedAt.After(before) && !slices.Contains(s.unsent.cleared, fp) {
+		s.unsent.cleared = append(s.unsent.cleared, fp)
 	}
 	return true
 }
 
-// heldSkew is by how much routers may differ on since when a content is refused:
-// each judges when it hears of the last crash.
-const heldSkew = 2 * time.Second
+// refusalSkew is how much routers may differ on when the refusals of a request started: each
+// judges when it receives the report of the last crash.
+const refusalSkew = 2 * time.Second
 
-// toldHeld refuses what another router refuses, unless it was cleared since.
-func (s *State) toldHeld(now time.Time, router string, one HeldReport) {
-	since := now.Add(-one.Age)
-	if s.vouch(now, since, one.Content) {
+// mergeRefusal refuses what another router refuses, unless it was cleared since.
+func (s *State) mergeRefusal(now time.Time, router string, refusal HeldReport) {
+	since := now.Add(-refusal.Age)
+	if s.clearIfHarmless(now, since, refusal.Content) {
 		return
 	}
-	r := s.records[one.Content]
-	if r != nil && !r.cleared.IsZero() && !since.After(r.cleared.Add(heldSkew)) {
+	r := s.records[refusal.Content]
+	if r != nil && !r.clearedAt.IsZero() && !since.After(r.clearedAt.Add(refusalSkew)) {
 		return
 	}
-	r = s.record(one.Content)
-	if r.held.IsZero() {
-		s.hold(now, since, one.Content, r, ByPeer, told(now, router, one.Reasons))
+	r = s.record(refusal.Content)
+	if r.refusedAt.IsZero() {
+		s.refuse(now, since, refusal.Content, r, ByPeer, strikesFrom(now, router, refusal.Reasons))
 	}
-	// They explain these crashes for who begins, too.
-	s.learnReasons(now, one.Content, router, told(now, router, one.Reasons))
-	// The earlier time and the greater number hold, so that trials are alike
-	// everywhere.
-	if since.Before(r.held) {
-		r.held = since
+	// The reasons explain these crashes also to a router that started later.
+	s.addReasons(now, refusal.Content, router, strikesFrom(now, router, refusal.Reasons))
+	// The earlier time and the greater number win, so that all routers allow the same probes.
+	if since.Before(r.refusedAt) {
+		r.refusedAt = since
 	}
-	r.trials = max(r.trials, one.Trials)
+	r.probes = max(r.probes, refusal.Trials)
 }
 
-// told are the reasons by another router's word.
-func told(now time.Time, router string, reasons []StrikeReport) []Strike {
+// strikesFrom converts the reasons reported by another router.
+func strikesFrom(now time.Time, router string, reasons []StrikeReport) []Strike {
 	out := make([]Strike, 0, len(reasons))
 	for _, reason := range reasons {
 		out = append(out, Strike{Server: reason.Server, At: now.Add(-reason.Age), Told: []string{router}})
