--- a/coordination/inflight/inflight.go
+++ b/coordination/inflight/inflight.go
@@ -72,7 +72,7 @@
 	Stalled
 	// ServerLeft: revoke the attempt, as its server is shutting down or gone and sends
 	// nothing.
-	ServerLeft
+	ServerGone
 )
 
 // Look is an observation of an attempt at one time.
@@ -85,7 +85,7 @@
 	// Heard is when the last message arrived from the server, on any connection; zero: never.
 	Heard time.Time
 	// Left is since when the server is known to be shutting down or gone; zero: it is not.
-	Left time.Time
+	DrainingSince time.Time
 }
 
 // Attempt is one attempt whose first byte was written. It must be used by one goroutine at a
@@ -114,10 +114,10 @@
 		return Stalled
 	case l.Pending > 0:
 		return Keep
-	case l.Answered && silence(now, l.Left, l.Heard) >= a.cfg.Dead:
-		return ServerLeft
+	case l.Answered && silence(now, l.DrainingSince, l.Heard) >= a.cfg.Dead:
+		return ServerGone
 	case !l.Answered && a.isAbandoned(now, l):
-		return ServerLeft
+		return ServerGone
 	default:
 		return Keep
 	}
@@ -135,7 +135,7 @@
 
 // stallLimit is how long unacknowledged bytes may make no progress.
 func (a *Attempt) stallLimit(l Look) time.Duration {
-	if l.Left.IsZero() {
+	if l.DrainingSince.IsZero() {
 		return a.cfg.Stall
 	}
 	return a.cfg.DrainingStall
@@ -147,7 +147,7 @@
 	if l.Heard.After(a.startedAt.Add(a.cfg.TransitTime)) {
 		return false
 	}
-	return silence(now, l.Left, a.startedAt) >= a.cfg.Silence
+	return silence(now, l.DrainingSince, a.startedAt) >= a.cfg.Silence
 }
 
 // silence returns the time since a server is known to be shutting down or since the other
--- a/coordination/inflight/inflight_test.go
+++ b/coordination/inflight/inflight_test.go
@@ -52,10 +52,10 @@
 			return Look{Answered: true}
 		}, Keep, 10 * time.Second},
 		"an answer that pauses at a draining server": {func(since time.Duration) Look {
-			return Look{Answered: true, Left: after(time.Second), Heard: after(min(since, 3*time.Second))}
-		}, ServerLeft, 8 * time.Second},
+			return Look{Answered: true, DrainingSince: after(time.Second), Heard: after(min(since, 3*time.Second))}
+		}, ServerGone, 8 * time.Second},
 		"an answer that continues at a draining server": {func(since time.Duration) Look {
-			return Look{Answered: true, Left: after(time.Second), Heard: after(since)}
+			return Look{Answered: true, DrainingSince: after(time.Second), Heard: after(since)}
 		}, Keep, 10 * time.Second},
 		"an answer that pauses at a running server": {func(since time.Duration) Look {
 			return Look{Answered: true, Heard: after(every)}
@@ -67,19 +67,19 @@
 		"a blocked path to a draining server": {func(since time.Duration) Look {
 			l := Look{Pending: size}
 			if since > 400*time.Millisecond {
-				l.Left = after(400 * time.Millisecond)
+				l.DrainingSince = after(400 * time.Millisecond)
 			}
 			return l
 		}, Stalled, 500 * time.Millisecond},
 		"acknowledged without an answer, at a draining server": {func(since time.Duration) Look {
-			return Look{Left: after(time.Second)}
-		}, ServerLeft, 2 * time.Second},
+			return Look{DrainingSince: after(time.Second)}
+		}, ServerGone, 2 * time.Second},
 		"the same, with messages from the server on other connections": {func(since time.Duration) Look {
-			return Look{Left: after(time.Second), Heard: after(since)}
+			return Look{DrainingSince: after(time.Second), Heard: after(since)}
 		}, Keep, 10 * time.Second},
 		"the same, with a message from the server before": {func(time.Duration) Look {
-			return Look{Left: after(time.Second), Heard: after(10 * time.Millisecond)}
-		}, ServerLeft, 2 * time.Second},
+			return Look{DrainingSince: after(time.Second), Heard: after(10 * time.Millisecond)}
+		}, ServerGone, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			verdict, at := observe(size, 10*time.Second, tc.look)
--- a/coordination/inflight/simulation_test.go
+++ b/coordination/inflight/simulation_test.go
@@ -58,7 +58,7 @@
 		l.Pending = 1
 	}
 	if now >= w.noticedAt {
-		l.Left = after(w.noticedAt)
+		l.DrainingSince = after(w.noticedAt)
 	}
 	return l
 }
@@ -68,7 +68,7 @@
 func (w scenario) reaches(sent, limit, phase time.Duration) (time.Duration, bool) {
 	a := Begin(&defaults, after(sent), 1)
 	for now := sent + phase; now < sent+limit; now += every {
-		if v := a.Look(after(now), w.look(sent, now)); v == Stalled || v == ServerLeft {
+		if v := a.Look(after(now), w.look(sent, now)); v == Stalled || v == ServerGone {
 			return w.arrival(sent), w.arrival(sent) <= now
 		}
 	}
--- a/coordination/quarantine/fleet_test.go
+++ b/coordination/quarantine/fleet_test.go
@@ -91,7 +91,7 @@
 			m.blocked[[2]int{i, j}] = m.random.IntN(100) < cutPercent
 		}
 		m.every(tickEvery, func() { m.tick(i) })
-		m.every(max(minReportInterval, time.Duration(size.routers)*time.Second/reportBudget), func() { m.send(i, m.routers[i].Standing(m.Now)) })
+		m.every(max(minReportInterval, time.Duration(size.routers)*time.Second/reportBudget), func() { m.send(i, m.routers[i].PeriodicReports(m.Now)) })
 	}
 	for i := range size.servers {
 		m.servers = append(m.servers, &modelServer{id: i, alive: true, runs: make(map[*Run]*State)})
@@ -119,8 +119,8 @@
 
 // sendUnsent sends the unsent changes of the router, if any.
 func (m *model) sendUnsent(i int) {
-	if s := m.routers[i]; s.HasNews() {
-		m.send(i, s.News(m.Now))
+	if s := m.routers[i]; s.HasUnsent() {
+		m.send(i, s.UnsentReports(m.Now))
 	}
 }
 
@@ -134,7 +134,7 @@
 			}
 			m.datagramsSent++
 			m.After(time.Duration(1+m.random.IntN(9))*time.Millisecond, func() {
-				m.routers[to].Told(m.Now, m.routers[from].self, report)
+				m.routers[to].Merge(m.Now, m.routers[from].self, report)
 				m.sendUnsent(to)
 			})
 		}
--- a/coordination/quarantine/judge.go
+++ b/coordination/quarantine/judge.go
@@ -177,7 +177,7 @@
 func (s *State) reasons(fp Fingerprint, r *record) []Strike {
 	var out []Strike
 	for _, c := range s.countedCrashes(r) {
-		out = append(out, Strike{Server: c.server, At: c.at, Told: slices.Clone(c.suspects[fp])})
+		out = append(out, Strike{Server: c.server, At: c.at, ReportedBy: slices.Clone(c.suspects[fp])})
 	}
 	return out
 }
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -80,7 +80,7 @@
 	Server string
 	At     time.Time
 	// Told are the routers that reported the request among those that ran there.
-	Told []string
+	ReportedBy []string
 }
 
 // New returns the state of a router without any crashes.
@@ -177,7 +177,7 @@
 }
 
 // Held is the number of refused requests.
-func (s *State) Held() int { return len(s.refused) }
+func (s *State) RefusedCount() int { return len(s.refused) }
 
 // Entry is a refused request as listed to operators and kept in the store.
 type Entry struct {
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -43,8 +43,8 @@
 	qt.Check(t, s.Check(at(3000), 100), qt.Equals, Pass)
 	reasons := s.Reasons(bad)
 	qt.Assert(t, reasons, qt.HasLen, 3)
-	qt.Check(t, reasons[1], qt.DeepEquals, Strike{Server: "i-1", At: at(1000), Told: []string{"a"}})
-	qt.Check(t, s.Held(), qt.Equals, 1)
+	qt.Check(t, reasons[1], qt.DeepEquals, Strike{Server: "i-1", At: at(1000), ReportedBy: []string{"a"}})
+	qt.Check(t, s.RefusedCount(), qt.Equals, 1)
 	qt.Check(t, s.Suspects(), qt.Equals, 0)
 }
 
@@ -63,11 +63,11 @@
 // exchange sends the reports of each router to all others once.
 func exchange(now time.Time, all ...*State) {
 	for _, from := range all {
-		reports := append(from.News(now), from.Standing(now)...)
+		reports := append(from.UnsentReports(now), from.PeriodicReports(now)...)
 		for _, to := range all {
 			if to != from {
 				for _, report := range reports {
-					to.Told(now, from.self, report)
+					to.Merge(now, from.self, report)
 				}
 			}
 		}
@@ -180,7 +180,7 @@
 		crashDuring(s, at(10*i), fmt.Sprint("i-", i), fps...)
 	}
 	qt.Check(t, s.Check(at(100), good), qt.Equals, Pass)
-	qt.Check(t, s.Held(), qt.Equals, 0)
+	qt.Check(t, s.RefusedCount(), qt.Equals, 0)
 }
 
 // A request that crashed one server is sent as three copies at the time when a server crashes
@@ -279,7 +279,7 @@
 	exchange(now.Add(time.Second), all...)
 	for _, s := range all {
 		qt.Check(t, s.Check(now.Add(2*time.Second), bad), qt.Equals, Pass)
-		qt.Check(t, s.Held(), qt.Equals, 0)
+		qt.Check(t, s.RefusedCount(), qt.Equals, 0)
 	}
 }
 
@@ -331,10 +331,10 @@
 // exchangeDelayed sends the reports of each router to all others, with a delay of 7 ms.
 func exchangeDelayed(now time.Time, all ...*State) {
 	for _, from := range all {
-		for _, report := range append(from.News(now), from.Standing(now)...) {
+		for _, report := range append(from.UnsentReports(now), from.PeriodicReports(now)...) {
 			for _, to := range all {
 				if to != from {
-					to.Told(now.Add(7*time.Millisecond), from.self, report)
+					to.Merge(now.Add(7*time.Millisecond), from.self, report)
 				}
 			}
 		}
@@ -357,7 +357,7 @@
 	exchangeDelayed(at(4500), fresh, old)
 	for _, s := range []*State{old, fresh} {
 		qt.Check(t, s.Check(at(4600), good), qt.Equals, Pass)
-		qt.Check(t, s.Held(), qt.Equals, 0)
+		qt.Check(t, s.RefusedCount(), qt.Equals, 0)
 	}
 }
 
@@ -412,7 +412,7 @@
 	}
 	qt.Check(t, s.Check(at(100), good), qt.Equals, Refuse)
 	for i := range 3 {
-		s.Told(at(300), "b", Report{Crashes: []CrashReport{{Server: fmt.Sprint("i-", i), Age: time.Duration(300-10*i) * time.Millisecond, Suspects: []Fingerprint{bad}}}})
+		s.Merge(at(300), "b", Report{Crashes: []CrashReport{{Server: fmt.Sprint("i-", i), Age: time.Duration(300-10*i) * time.Millisecond, Suspects: []Fingerprint{bad}}}})
 	}
 	qt.Check(t, s.Check(at(301), good), qt.Equals, Refuse)
 	for i := range 3 {
@@ -440,7 +440,7 @@
 	}
 	qt.Check(t, s.Check(at(700), bad), qt.Equals, Refuse)
 	for i := range 3 {
-		s.Told(at(701), "b", Report{Crashes: []CrashReport{{Server: fmt.Sprint("i-", i), Age: time.Duration(701-300*i) * time.Millisecond, Suspects: []Fingerprint{second}}}})
+		s.Merge(at(701), "b", Report{Crashes: []CrashReport{{Server: fmt.Sprint("i-", i), Age: time.Duration(701-300*i) * time.Millisecond, Suspects: []Fingerprint{second}}}})
 	}
 	for i := range 3 {
 		crashDuring(s, at(900+200*i), fmt.Sprint("j-", i), second)
@@ -509,21 +509,21 @@
 			crashDuring(old, at(1000*(3*i+j)), fmt.Sprintf("i-%d-%d", i, j), Fingerprint(5000+i))
 		}
 	}
-	qt.Assert(t, old.Held(), qt.Equals, 200)
+	qt.Assert(t, old.RefusedCount(), qt.Equals, 200)
 	for i := range 4 {
-		for _, report := range old.Standing(at(601_000 + 250*i)) {
-			fresh.Told(at(601_010+250*i), "old", report)
+		for _, report := range old.PeriodicReports(at(601_000 + 250*i)) {
+			fresh.Merge(at(601_010+250*i), "old", report)
 		}
 	}
-	qt.Check(t, fresh.Held(), qt.Equals, 200)
+	qt.Check(t, fresh.RefusedCount(), qt.Equals, 200)
 
 	fresh = New(DefaultConfig(), "fresh")
 	fresh.End(at(0), fresh.Begin(good, "i-9"), Complete)
 	fresh.Tick(at(2500))
 	reported := 0
 	for i := range 10 {
-		fresh.Told(at(3000+250*i), "old", Report{Crashes: []CrashReport{{Server: "i-0", Age: time.Duration(250*i) * time.Millisecond, Suspects: []Fingerprint{good}}}})
-		reported += len(fresh.News(at(3000 + 250*i)))
+		fresh.Merge(at(3000+250*i), "old", Report{Crashes: []CrashReport{{Server: "i-0", Age: time.Duration(250*i) * time.Millisecond, Suspects: []Fingerprint{good}}}})
+		reported += len(fresh.UnsentReports(at(3000 + 250*i)))
 	}
 	qt.Check(t, reported, qt.Equals, 1)
 }
@@ -544,14 +544,14 @@
 	}
 	qt.Check(t, len(s.crashes) <= cfg.MaxCrashes, qt.IsTrue)
 	qt.Check(t, len(s.records) <= cfg.MaxCrashes*cfg.MaxSuspects+cfg.MaxRefused, qt.IsTrue, qt.Commentf("%d", len(s.records)))
-	qt.Check(t, s.Held() <= cfg.MaxRefused, qt.IsTrue)
+	qt.Check(t, s.RefusedCount() <= cfg.MaxRefused, qt.IsTrue)
 	qt.Check(t, len(s.successes.at) <= cfg.MaxSuccesses, qt.IsTrue)
-	for _, report := range append(s.News(at(0)), s.Standing(at(200_000))...) {
+	for _, report := range append(s.UnsentReports(at(0)), s.PeriodicReports(at(200_000))...) {
 		qt.Check(t, len(report.Crashes)*crashBytes <= maxReportBytes, qt.IsTrue)
 	}
 	s.Tick(at(200_000).Add(cfg.CrashTTL + time.Second))
 	qt.Check(t, s.crashes, qt.HasLen, 0)
-	qt.Check(t, len(s.records), qt.Equals, s.Held())
+	qt.Check(t, len(s.records), qt.Equals, s.RefusedCount())
 }
 
 func TestDefaultConfigIsValid(t *testing.T) {
@@ -577,8 +577,8 @@
 			if rapid.Bool().Draw(t, "told") {
 				to := all[rapid.IntRange(0, 2).Draw(t, "to")]
 				if to != from {
-					for _, report := range from.News(now) {
-						to.Told(now, from.self, report)
+					for _, report := range from.UnsentReports(now) {
+						to.Merge(now, from.self, report)
 					}
 				}
 			}
--- a/coordination/quarantine/reports.go
+++ b/coordination/quarantine/reports.go
@@ -13,7 +13,7 @@
 }
 
 // HeldReport states that a request is refused, since when and why.
-type HeldReport struct {
+type RefusalReport struct {
 	Content Fingerprint
 	Age     time.Duration
 	// Trials is the number of probe requests since the refusals started.
@@ -37,9 +37,9 @@
 // Report is a message from one router to the others. Times are sent as ages, so that clocks
 // need not be synchronized.
 type Report struct {
-	Crashes []CrashReport
-	Held    []HeldReport
-	Cleared []ClearedReport
+	Crashes  []CrashReport
+	Refusals []RefusalReport
+	Cleared  []ClearedReport
 }
 
 // Limits of a report, so that it fits one packet of 1,400 bytes, and of the number of reports
@@ -78,12 +78,12 @@
 }
 
 // HasNews reports whether there are changes to report at once.
-func (s *State) HasNews() bool {
+func (s *State) HasUnsent() bool {
 	return len(s.unsent.crashes) > 0 || len(s.unsent.refused) > 0 || len(s.unsent.cleared) > 0
 }
 
 // News returns the unsent changes, to be sent to all other routers at once.
-func (s *State) News(now time.Time) []Report {
+func (s *State) UnsentReports(now time.Time) []Report {
 	var p packer
 	for _, c := range s.unsent.crashes {
 		s.packCrash(&p, now, c, s.observedSuspects(c))
@@ -101,7 +101,7 @@
 // Standing returns what is reported periodically, for routers that missed it or started since:
 // what this router observed recently, what counts against requests with several crashes, and
 // what is refused.
-func (s *State) Standing(now time.Time) []Report {
+func (s *State) PeriodicReports(now time.Time) []Report {
 	var p packer
 	for _, c := range s.crashOrder {
 		if c.observedHere && now.Sub(c.at) <= s.cfg.ResendFor {
@@ -174,14 +174,14 @@
 	if r == nil || r.refusedAt.IsZero() {
 		return
 	}
-	refusal := HeldReport{Content: fp, Age: now.Sub(r.refusedAt), Trials: r.probes}
+	refusal := RefusalReport{Content: fp, Age: now.Sub(r.refusedAt), Trials: r.probes}
 	size := refusalBytes
 	for _, strike := range r.reasons[:min(len(r.reasons), maxReportReasons)] {
 		refusal.Reasons = append(refusal.Reasons, StrikeReport{Server: strike.Server, Age: now.Sub(strike.At)})
 		size += reasonBytes + len(strike.Server)
 	}
 	p.reserve(size)
-	p.report.Held = append(p.report.Held, refusal)
+	p.report.Refusals = append(p.report.Refusals, refusal)
 }
 
 func (s *State) packCleared(p *packer, now time.Time, fp Fingerprint) {
@@ -219,7 +219,7 @@
 }
 
 // Told merges another router's report.
-func (s *State) Told(now time.Time, router string, report Report) {
+func (s *State) Merge(now time.Time, router string, report Report) {
 	for _, cleared := range report.Cleared {
 		s.clear(now, now.Add(-cleared.Age), cleared.Content, ByPeer)
 	}
@@ -229,7 +229,7 @@
 		}
 		s.addSuspects(now, s.crash(now.Add(-crash.Age), crash.Server), router, s.dropHarmless(now, crash))
 	}
-	for _, refusal := range report.Held {
+	for _, refusal := range report.Refusals {
 		s.mergeRefusal(now, router, refusal)
 	}
 }
@@ -263,7 +263,7 @@
 const refusalSkew = 2 * time.Second
 
 // mergeRefusal refuses what another router refuses, unless it was cleared since.
-func (s *State) mergeRefusal(now time.Time, router string, refusal HeldReport) {
+func (s *State) mergeRefusal(now time.Time, router string, refusal RefusalReport) {
 	since := now.Add(-refusal.Age)
 	if s.clearIfHarmless(now, since, refusal.Content) {
 		return
@@ -289,7 +289,7 @@
 func strikesFrom(now time.Time, router string, reasons []StrikeReport) []Strike {
 	out := make([]Strike, 0, len(reasons))
 	for _, reason := range reasons {
-		out = append(out, Strike{Server: reason.Server, At: now.Add(-reason.Age), Told: []string{router}})
+		out = append(out, Strike{Server: reason.Server, At: now.Add(-reason.Age), ReportedBy: []string{router}})
 	}
 	slices.SortFunc(out, func(a, b Strike) int { return a.At.Compare(b.At) })
 	return out
--- a/coordination/quarantine/runs.go
+++ b/coordination/quarantine/runs.go
@@ -14,7 +14,7 @@
 	Broken
 	// Left: the router cancelled the run, because its caller disconnected or its deadline
 	// passed.
-	Left
+	Cancelled
 )
 
 // Run is one send of a request to a server.
--- a/coordination/quarantine/small_service_test.go
+++ b/coordination/quarantine/small_service_test.go
@@ -189,10 +189,10 @@
 	}
 	for i := range 3 {
 		suspects := []Fingerprint{good}
-		fresh.Told(at(2000), "third", Report{Crashes: []CrashReport{{Server: fmt.Sprint("i-", i), Age: time.Duration(2000-600*i) * time.Millisecond, Suspects: suspects}}})
-		for _, report := range old.Standing(at(2000)) {
+		fresh.Merge(at(2000), "third", Report{Crashes: []CrashReport{{Server: fmt.Sprint("i-", i), Age: time.Duration(2000-600*i) * time.Millisecond, Suspects: suspects}}})
+		for _, report := range old.PeriodicReports(at(2000)) {
 			// Of these reports only the refusals with their reasons arrive.
-			fresh.Told(at(2000), "old", Report{Held: report.Held})
+			fresh.Merge(at(2000), "old", Report{Refusals: report.Refusals})
 		}
 	}
 	fresh.Tick(at(5000))
@@ -203,7 +203,7 @@
 // A refusal without known crashes is not explained by other refusals.
 func TestRefusalWithoutReasonsIsNotExplained(t *testing.T) {
 	s := New(DefaultConfig(), "a")
-	s.Told(at(0), "b", Report{Held: []HeldReport{{Content: good}, {Content: bad}}})
+	s.Merge(at(0), "b", Report{Refusals: []RefusalReport{{Content: good}, {Content: bad}}})
 	qt.Check(t, s.Check(at(1000), good), qt.Equals, Refuse)
 	qt.Check(t, s.Check(at(1000), bad), qt.Equals, Refuse)
 }
@@ -223,7 +223,7 @@
 				for i := range 3 {
 					reasons = append(reasons, StrikeReport{Server: fmt.Sprint("i-", fp, "-", i)})
 				}
-				s.Told(at(0), "b", Report{Held: []HeldReport{{Content: Fingerprint(fp), Reasons: reasons}}})
+				s.Merge(at(0), "b", Report{Refusals: []RefusalReport{{Content: Fingerprint(fp), Reasons: reasons}}})
 			}
 			for b.Loop() {
 				s.Check(at(1000), 0)
--- a/coordination/quarantine/stored.go
+++ b/coordination/quarantine/stored.go
@@ -48,13 +48,13 @@
 func (s *State) Stored(now time.Time, entries []Entry) {
 	var report Report
 	for _, entry := range entries {
-		refusal := HeldReport{Content: entry.Content, Age: max(now.Sub(entry.Since), 0), Trials: entry.Trials}
+		refusal := RefusalReport{Content: entry.Content, Age: max(now.Sub(entry.Since), 0), Trials: entry.Trials}
 		for _, strike := range entry.Reasons {
 			refusal.Reasons = append(refusal.Reasons, StrikeReport{Server: strike.Server, Age: max(now.Sub(strike.At), 0)})
 		}
-		report.Held = append(report.Held, refusal)
+		report.Refusals = append(report.Refusals, refusal)
 	}
-	s.Told(now, storeReporter, report)
+	s.Merge(now, storeReporter, report)
 }
 
 // storeReporter stands for the store among the routers that reported something.
--- a/coordination/report/report.go
+++ b/coordination/report/report.go
@@ -63,10 +63,10 @@
 type Event interface{ isEvent() }
 
 // Joined is sent when a router's control stream opens. The router gets a report at once.
-type Joined struct{ Router string }
+type Connected struct{ Router string }
 
 // Parted is sent when a router's control stream ends.
-type Parted struct{ Router string }
+type Disconnected struct{ Router string }
 
 // Changed carries the sidecar's current room.
 type Changed struct{ Room Room }
@@ -77,11 +77,11 @@
 // Ticked advances the time.
 type Ticked struct{}
 
-func (Joined) isEvent()    {}
-func (Parted) isEvent()    {}
-func (Changed) isEvent()   {}
-func (Announced) isEvent() {}
-func (Ticked) isEvent()    {}
+func (Connected) isEvent()    {}
+func (Disconnected) isEvent() {}
+func (Changed) isEvent()      {}
+func (Announced) isEvent()    {}
+func (Ticked) isEvent()       {}
 
 // recipient is a router with the last report sent to it.
 type recipient struct {
@@ -113,11 +113,11 @@
 	s.out = s.out[:0]
 	s.refill(now)
 	switch ev := ev.(type) {
-	case Joined:
+	case Connected:
 		s.remove(ev.Router)
 		s.routers[ev.Router] = s.order.PushFront(&recipient{router: ev.Router})
 		s.send(now, s.routers[ev.Router])
-	case Parted:
+	case Disconnected:
 		s.remove(ev.Router)
 	case Changed:
 		urgent := ev.Room.Leaving != s.room.Leaving || ev.Room.Ejected != s.room.Ejected
--- a/coordination/report/report_test.go
+++ b/coordination/report/report_test.go
@@ -19,7 +19,7 @@
 func connected(n int) (*report.State, time.Time) {
 	s := report.New(report.DefaultConfig())
 	for i := range n {
-		s.Step(epoch, report.Joined{Router: fmt.Sprint(i)})
+		s.Step(epoch, report.Connected{Router: fmt.Sprint(i)})
 	}
 	now := epoch.Add(time.Minute)
 	for range 100 {
@@ -99,13 +99,13 @@
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
 				sent[r] = -1
-				step(report.Joined{Router: r})
+				step(report.Connected{Router: r})
 				if sent[r] != free {
 					t.Fatalf("%s connected and was sent no report", r)
 				}
 			case 1:
 				delete(sent, r)
-				step(report.Parted{Router: r})
+				step(report.Disconnected{Router: r})
 			case 2:
 				free = rapid.IntRange(0, 2).Draw(t, "free")
 				step(room(free))
--- a/coordination/selfcheck/selfcheck.go
+++ b/coordination/selfcheck/selfcheck.go
@@ -72,13 +72,13 @@
 	// Late: the router reads its input late.
 	Late bool
 	// Deaf: all other routers fell silent at once.
-	Deaf bool
+	ReceivesNothing bool
 	// Cut: servers of all data centres are unreachable.
-	Cut bool
+	Partitioned bool
 }
 
 // Any reports whether there is any sign.
-func (s Signs) Any() bool { return s.Late || s.Deaf || s.Cut }
+func (s Signs) Any() bool { return s.Late || s.ReceivesNothing || s.Partitioned }
 
 // State is the self-check of one router. It must be used by one goroutine at a time.
 type State struct {
@@ -131,7 +131,7 @@
 // Check returns the signs at the given time. Servers holds the number of known servers by data
 // centre; it may be nil while no server is unreachable.
 func (s *State) Check(now time.Time, servers map[string]int) Signs {
-	signs := Signs{Late: s.late, Deaf: s.receivesNothing(now), Cut: s.isPartitioned(now, servers)}
+	signs := Signs{Late: s.late, ReceivesNothing: s.receivesNothing(now), Partitioned: s.isPartitioned(now, servers)}
 	if signs.Any() {
 		s.lastSign = now
 	}
--- a/coordination/selfcheck/selfcheck_test.go
+++ b/coordination/selfcheck/selfcheck_test.go
@@ -37,18 +37,18 @@
 	qt.Check(t, s.Check(epoch, servers).Any(), qt.IsFalse)
 	now := receive(s, epoch, 29)
 	qt.Check(t, s.Check(now, servers).Any(), qt.IsFalse)
-	qt.Check(t, s.Check(now.Add(400*time.Millisecond), servers).Deaf, qt.IsTrue)
-	qt.Check(t, s.Check(now.Add(9*time.Second), servers).Deaf, qt.IsTrue)
+	qt.Check(t, s.Check(now.Add(400*time.Millisecond), servers).ReceivesNothing, qt.IsTrue)
+	qt.Check(t, s.Check(now.Add(9*time.Second), servers).ReceivesNothing, qt.IsTrue)
 	// Others that have been silent for this long are gone.
-	qt.Check(t, s.Check(now.Add(11*time.Second), servers).Deaf, qt.IsFalse)
+	qt.Check(t, s.Check(now.Add(11*time.Second), servers).ReceivesNothing, qt.IsFalse)
 	now = receive(s, now, 29)
 	for range 50 {
 		now = now.Add(100 * time.Millisecond)
 		s.Heard(now, "r-0")
-		qt.Assert(t, s.Check(now, servers).Deaf, qt.IsFalse)
+		qt.Assert(t, s.Check(now, servers).ReceivesNothing, qt.IsFalse)
 	}
 	// A single active router may have ended.
-	qt.Check(t, s.Check(now.Add(time.Second), servers).Deaf, qt.IsFalse)
+	qt.Check(t, s.Check(now.Add(time.Second), servers).ReceivesNothing, qt.IsFalse)
 }
 
 // In a fleet of three the two others may have failed together.
@@ -63,8 +63,8 @@
 	s := New(DefaultConfig())
 	s.SetPeriod(time.Second)
 	now := receive(s, epoch, 29)
-	qt.Check(t, s.Check(now.Add(2*time.Second), servers).Deaf, qt.IsFalse)
-	qt.Check(t, s.Check(now.Add(3100*time.Millisecond), servers).Deaf, qt.IsTrue)
+	qt.Check(t, s.Check(now.Add(2*time.Second), servers).ReceivesNothing, qt.IsFalse)
+	qt.Check(t, s.Check(now.Add(3100*time.Millisecond), servers).ReceivesNothing, qt.IsTrue)
 }
 
 // Guards against taking the loss of a data centre for this router's own fault, and against a
@@ -75,17 +75,17 @@
 	for i := range 20 {
 		s.Unreached(now, fmt.Sprint("a-", i), "a")
 	}
-	qt.Check(t, s.Check(now, servers).Cut, qt.IsFalse)
+	qt.Check(t, s.Check(now, servers).Partitioned, qt.IsFalse)
 	for _, dataCentre := range []string{"b", "c"} {
 		for i := range 4 {
 			s.Unreached(now, fmt.Sprint(dataCentre, i), dataCentre)
 		}
 	}
-	qt.Check(t, s.Check(now, servers).Cut, qt.IsTrue)
+	qt.Check(t, s.Check(now, servers).Partitioned, qt.IsTrue)
 	qt.Check(t, s.Impaired(now), qt.IsTrue)
 	// A successful connection removes the server's failure.
 	s.Reached("b0")
-	qt.Check(t, s.Check(now, servers).Cut, qt.IsFalse)
+	qt.Check(t, s.Check(now, servers).Partitioned, qt.IsFalse)
 	qt.Check(t, s.Impaired(now.Add(500*time.Millisecond)), qt.IsTrue)
 	qt.Check(t, s.Check(now.Add(2*time.Second), servers).Any(), qt.IsFalse)
 	qt.Check(t, s.Impaired(now.Add(2*time.Second)), qt.IsFalse)
--- a/protocol/crashreport/crashreport.go
+++ b/protocol/crashreport/crashreport.go
@@ -44,8 +44,8 @@
 			b = binary.LittleEndian.AppendUint64(b, uint64(content))
 		}
 	}
-	b = append(b, byte(min(len(r.Held), maxCount)))
-	for _, h := range r.Held[:min(len(r.Held), maxCount)] {
+	b = append(b, byte(min(len(r.Refusals), maxCount)))
+	for _, h := range r.Refusals[:min(len(r.Refusals), maxCount)] {
 		b = appendAge(binary.LittleEndian.AppendUint64(b, uint64(h.Content)), h.Age)
 		b = append(b, byte(min(h.Trials, maxCount)), byte(min(len(h.Reasons), maxCount)))
 		for _, reason := range h.Reasons[:min(len(h.Reasons), maxCount)] {
@@ -86,11 +86,11 @@
 		r.Crashes = append(r.Crashes, c)
 	}
 	for range d.count() {
-		h := quarantine.HeldReport{Content: d.fingerprint(), Age: d.age(), Trials: d.count()}
+		h := quarantine.RefusalReport{Content: d.fingerprint(), Age: d.age(), Trials: d.count()}
 		for range d.count() {
 			h.Reasons = append(h.Reasons, quarantine.StrikeReport{Server: d.name(), Age: d.age()})
 		}
-		r.Held = append(r.Held, h)
+		r.Refusals = append(r.Refusals, h)
 	}
 	for range d.count() {
 		r.Cleared = append(r.Cleared, quarantine.ClearedReport{Content: d.fingerprint(), Age: d.age()})
--- a/protocol/crashreport/crashreport_test.go
+++ b/protocol/crashreport/crashreport_test.go
@@ -16,7 +16,7 @@
 			{Server: "i-1@1700000000000", Age: 1500 * time.Millisecond, Suspects: []quarantine.Fingerprint{1, 1 << 63}},
 			{Server: "i-2"},
 		},
-		Held: []quarantine.HeldReport{{Content: 7, Age: time.Hour, Trials: 1, Reasons: []quarantine.StrikeReport{
+		Refusals: []quarantine.RefusalReport{{Content: 7, Age: time.Hour, Trials: 1, Reasons: []quarantine.StrikeReport{
 			{Server: "i-1", Age: time.Second}, {Server: "i-2", Age: 2 * time.Second},
 		}}},
 		Cleared: []quarantine.ClearedReport{{Content: 9, Age: -9 * time.Second}},
@@ -60,8 +60,8 @@
 			return
 		}
 		s := quarantine.New(quarantine.DefaultConfig(), "self")
-		s.Told(time.Unix(1000, 0), router, r)
+		s.Merge(time.Unix(1000, 0), router, r)
 		s.Tick(time.Unix(1001, 0))
-		s.Standing(time.Unix(1001, 0))
+		s.PeriodicReports(time.Unix(1001, 0))
 	})
 }
--- a/transport/backend/flights.go
+++ b/transport/backend/flights.go
@@ -129,7 +129,7 @@
 	switch v {
 	case inflight.Stalled:
 		return ErrStalled
-	case inflight.ServerLeft:
+	case inflight.ServerGone:
 		return ErrServerLeft
 	default:
 		return nil
@@ -140,7 +140,7 @@
 func (a *Answer) seen(now time.Time) inflight.Look {
 	l := inflight.Look{
 		Pending: a.pending(), Answered: a.answered.Load(),
-		Heard: timeOf(&a.conn.peer.heard), Left: timeOf(&a.conn.peer.left),
+		Heard: timeOf(&a.conn.peer.heard), DrainingSince: timeOf(&a.conn.peer.left),
 	}
 	if l.Answered && !a.conn.reading.Load() {
 		// It is the caller who is slow: there may be bytes to hear.
--- a/transport/direct/crash_test.go
+++ b/transport/direct/crash_test.go
@@ -311,7 +311,7 @@
 		one.meet(late)
 		late.meet(one)
 	}
-	late.waitFor("the later router did not hear of it", func() bool { return late.router.inQuarantine((*quarantine.State).Held) == 1 })
+	late.waitFor("the later router did not hear of it", func() bool { return late.router.inQuarantine((*quarantine.State).RefusedCount) == 1 })
 	late.Check(late.send("/stream/a", "x", crashBody).status, qt.Equals, http.StatusBadRequest)
 	late.Check(f.count(), qt.Equals, began)
 
@@ -331,14 +331,14 @@
 
 	// All routers are lost; one that begins reads it in the store.
 	alone := startWith(t, testConfig(1), func(_ *settings.Direct, s *testSource) { s.now.Refused = kept() })
-	alone.waitFor("it was not read", func() bool { return alone.router.inQuarantine((*quarantine.State).Held) == 1 })
+	alone.waitFor("it was not read", func() bool { return alone.router.inQuarantine((*quarantine.State).RefusedCount) == 1 })
 	alone.Check(alone.send("/stream/a", "y", crashBody).status, qt.Equals, http.StatusBadRequest)
 
 	freed := httptest.NewRecorder()
 	late.router.metricsHandler().ServeHTTP(freed, httptest.NewRequest(http.MethodDelete, "/quarantine/"+entries[0].Content, nil))
 	late.Check(freed.Code, qt.Equals, http.StatusOK)
 	for _, one := range append(f.routers, late) {
-		one.waitFor("it is still refused", func() bool { return one.router.inQuarantine((*quarantine.State).Held) == 0 })
+		one.waitFor("it is still refused", func() bool { return one.router.inQuarantine((*quarantine.State).RefusedCount) == 0 })
 	}
 	late.waitFor("its entry is still in the store", func() bool { return len(kept()) == 0 })
 }
--- a/transport/direct/crashes.go
+++ b/transport/direct/crashes.go
@@ -90,7 +90,7 @@
 	case next != done && ctx.Err() == nil && connectionEnded(err):
 		return quarantine.Broken
 	default:
-		return quarantine.Left
+		return quarantine.Cancelled
 	}
 }
 
@@ -199,7 +199,7 @@
 			}
 		}
 	}
-	if r.quarantine.HasNews() {
+	if r.quarantine.HasUnsent() {
 		select {
 		case r.suspected <- struct{}{}:
 		default:
@@ -215,7 +215,7 @@
 func writeStrikes(strikes []quarantine.Strike) (servers, times, told string) {
 	var s, t, by []string
 	for _, one := range strikes {
-		s, t, by = append(s, one.Server), append(t, one.At.UTC().Format(strikeTime)), append(by, strings.Join(one.Told, "+"))
+		s, t, by = append(s, one.Server), append(t, one.At.UTC().Format(strikeTime)), append(by, strings.Join(one.ReportedBy, "+"))
 	}
 	return strings.Join(s, ","), strings.Join(t, ","), strings.Join(by, ",")
 }
--- a/transport/direct/load.go
+++ b/transport/direct/load.go
@@ -146,7 +146,7 @@
 	impaired := r.admission.Impaired()
 	r.mu.Unlock()
 	if changed {
-		r.event("self_check", "impaired", impaired, "late", signs.Late, "deaf", signs.Deaf, "cut", signs.Cut)
+		r.event("self_check", "impaired", impaired, "late", signs.Late, "deaf", signs.ReceivesNothing, "cut", signs.Partitioned)
 	}
 }
 
--- a/transport/direct/metrics.go
+++ b/transport/direct/metrics.go
@@ -70,7 +70,7 @@
 		answers:          v.Map("direct_answers"),
 	}
 	v.Func("direct_quarantine_suspects", func() any { return r.inQuarantine((*quarantine.State).Suspects) })
-	v.Func("direct_quarantine_held", func() any { return r.inQuarantine((*quarantine.State).Held) })
+	v.Func("direct_quarantine_held", func() any { return r.inQuarantine((*quarantine.State).RefusedCount) })
 	v.Func("direct_cold_servers", func() any {
 		r.mu.Lock()
 		defer r.mu.Unlock()
--- a/transport/direct/warn.go
+++ b/transport/direct/warn.go
@@ -26,13 +26,13 @@
 	r := t.r
 	r.mu.Lock()
 	var reports []quarantine.Report
-	if r.quarantine.HasNews() && now.Sub(t.warned) >= others*time.Second/warnBudget {
+	if r.quarantine.HasUnsent() && now.Sub(t.warned) >= others*time.Second/warnBudget {
 		t.warned = now
-		reports = r.quarantine.News(now)
+		reports = r.quarantine.UnsentReports(now)
 	}
 	if now.Sub(t.stood) >= max(standEvery, others*time.Second/tellBudget) {
 		t.stood = now
-		reports = append(reports, r.quarantine.Standing(now)...)
+		reports = append(reports, r.quarantine.PeriodicReports(now)...)
 	}
 	if len(reports) > 0 {
 		t.addresses()
@@ -56,7 +56,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.quarantine.Told(time.Now(), router, report)
+	r.quarantine.Merge(time.Now(), router, report)
 	r.noteQuarantine()
 	return nil
 }
@@ -87,7 +87,7 @@
 	for _, e := range entries {
 		one := listed{Content: e.Content.String(), Since: e.Since.UTC(), Trials: e.Trials}
 		for _, s := range e.Reasons {
-			one.Crashes = append(one.Crashes, strike{Server: s.Server, At: s.At.UTC(), ToldBy: s.Told})
+			one.Crashes = append(one.Crashes, strike{Server: s.Server, At: s.At.UTC(), ToldBy: s.ReportedBy})
 		}
 		out = append(out, one)
 	}
--- a/transport/sidecar/chooser.go
+++ b/transport/sidecar/chooser.go
@@ -136,14 +136,14 @@
 		c.attempts[m.attempt.key] = m.attempt
 	case m.joined != nil:
 		c.routers[m.joined.id] = m.joined
-		c.inform(report.Joined{Router: m.joined.id})
+		c.inform(report.Connected{Router: m.joined.id})
 		return
 	case m.parted != nil:
 		if c.routers[m.parted.id] != m.parted {
 			return
 		}
 		delete(c.routers, m.parted.id)
-		c.inform(report.Parted{Router: m.parted.id})
+		c.inform(report.Disconnected{Router: m.parted.id})
 	}
 	c.step(m.event)
 	if e, ok := m.event.(share.Ended); ok {
