--- a/coordination/inflight/inflight.go
+++ b/coordination/inflight/inflight.go
@@ -70,7 +70,7 @@
 	Keep Verdict = iota
 	// Stalled: revoke the attempt, as its bytes make no progress.
 	Stalled
-	// ServerLeft: revoke the attempt, as its server is shutting down or gone and sends
+	// ServerGone: revoke the attempt, as its server is shutting down or gone and sends
 	// nothing.
 	ServerGone
 )
@@ -84,7 +84,8 @@
 	Answered bool
 	// Heard is when the last message arrived from the server, on any connection; zero: never.
 	Heard time.Time
-	// Left is since when the server is known to be shutting down or gone; zero: it is not.
+	// DrainingSince is when the router was informed that the server is shutting down or gone;
+	// zero: it is not.
 	DrainingSince time.Time
 }
 
--- a/coordination/inflight/simulation_test.go
+++ b/coordination/inflight/simulation_test.go
@@ -25,9 +25,9 @@
 type scenario struct {
 	blocksAt, recoversAt time.Duration
 	acknowledges         bool
-	// left is when the server shuts down, and known when the router is informed of it.
+	// shutdownAt is when the server shuts down, and noticedAt when the router is informed of it.
 	shutdownAt, noticedAt time.Duration
-	// answers is how long the server takes for an answer.
+	// answerTime is how long the server takes for an answer.
 	answerTime time.Duration
 }
 
--- a/coordination/quarantine/fleet_test.go
+++ b/coordination/quarantine/fleet_test.go
@@ -35,7 +35,7 @@
 	copiesAtOnce      = 4
 	harmlessGap       = 4 * time.Millisecond
 	lossPercent       = 5
-	cutPercent        = 5
+	blockedPercent    = 5
 	tickEvery         = 200 * time.Millisecond
 	minReportInterval = 250 * time.Millisecond
 	reportBudget      = 200
@@ -88,7 +88,7 @@
 		s.SetRouters(ids)
 		m.routers = append(m.routers, s)
 		for j := range ids {
-			m.blocked[[2]int{i, j}] = m.random.IntN(100) < cutPercent
+			m.blocked[[2]int{i, j}] = m.random.IntN(100) < blockedPercent
 		}
 		m.every(tickEvery, func() { m.tick(i) })
 		m.every(max(minReportInterval, time.Duration(size.routers)*time.Second/reportBudget), func() { m.send(i, m.routers[i].PeriodicReports(m.Now)) })
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// insist keeps sending the request that crashes servers.
+// sendCrashing keeps sending the request that crashes servers.
 func (m *model) sendCrashing(n int) {
 	copies := 1
 	if n%copiesEvery == 0 {
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -79,7 +79,7 @@
 	// Server is the identity of the incarnation that crashed.
 	Server string
 	At     time.Time
-	// Told are the routers that reported the request among those that ran there.
+	// ReportedBy are the routers that reported the request among those that ran there.
 	ReportedBy []string
 }
 
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// Suspects is the number of requests that are not refused but have a crash counted against
+// Suspects returns the number of requests that are not refused but have a crash counted against
 // them.
 func (s *State) Suspects() int {
 	n := 0
@@ -176,7 +176,7 @@
 	return n
 }
 
-// Held is the number of refused requests.
+// RefusedCount returns the number of refused requests.
 func (s *State) RefusedCount() int { return len(s.refused) }
 
 // Entry is a refused request as listed to operators and kept in the store.
--- a/coordination/quarantine/reports.go
+++ b/coordination/quarantine/reports.go
@@ -12,7 +12,7 @@
 	Suspects []Fingerprint
 }
 
-// HeldReport states that a request is refused, since when and why.
+// RefusalReport states that a request is refused, since when and why.
 type RefusalReport struct {
 	Content Fingerprint
 	Age     time.Duration
@@ -77,12 +77,12 @@
 	n.crashes = slices.DeleteFunc(n.crashes, func(other *crash) bool { return other == c })
 }
 
-// HasNews reports whether there are changes to report at once.
+// HasUnsent reports whether there are changes to report at once.
 func (s *State) HasUnsent() bool {
 	return len(s.unsent.crashes) > 0 || len(s.unsent.refused) > 0 || len(s.unsent.cleared) > 0
 }
 
-// News returns the unsent changes, to be sent to all other routers at once.
+// UnsentReports returns the unsent changes, to be sent to all other routers at once.
 func (s *State) UnsentReports(now time.Time) []Report {
 	var p packer
 	for _, c := range s.unsent.crashes {
@@ -98,9 +98,9 @@
 	return p.done()
 }
 
-// Standing returns what is reported periodically, for routers that missed it or started since:
-// what this router observed recently, what counts against requests with several crashes, and
-// what is refused.
+// PeriodicReports returns what is reported periodically, for routers that missed it or started
+// since: what this router observed recently, what counts against requests with several
+// crashes, and what is refused.
 func (s *State) PeriodicReports(now time.Time) []Report {
 	var p packer
 	for _, c := range s.crashOrder {
@@ -148,7 +148,7 @@
 	}
 }
 
-// ownSuspects returns the requests that this router reported for the crash.
+// observedSuspects returns the requests that this router reported for the crash.
 func (s *State) observedSuspects(c *crash) []Fingerprint {
 	out := make([]Fingerprint, 0, len(c.suspects))
 	for fp, reporters := range c.suspects {
@@ -218,7 +218,7 @@
 	return p.full[:min(len(p.full), maxReports)]
 }
 
-// Told merges another router's report.
+// Merge merges another router's report.
 func (s *State) Merge(now time.Time, router string, report Report) {
 	for _, cleared := range report.Cleared {
 		s.clear(now, now.Add(-cleared.Age), cleared.Content, ByPeer)
--- a/coordination/quarantine/runs.go
+++ b/coordination/quarantine/runs.go
@@ -12,7 +12,7 @@
 	Complete
 	// Broken: the connection ended before the answer was complete.
 	Broken
-	// Left: the router cancelled the run, because its caller disconnected or its deadline
+	// Cancelled: the router cancelled the run, because its caller disconnected or its deadline
 	// passed.
 	Cancelled
 )
@@ -41,22 +41,22 @@
 
 // survived reports whether the server is known to have stayed up for the given time after the
 // run.
-func (h *incarnation) survived(r *Run, by time.Duration) bool {
-	return h.lastResponse.Sub(r.endedAt) >= by
+func (inc *incarnation) survived(r *Run, by time.Duration) bool {
+	return inc.lastResponse.Sub(r.endedAt) >= by
 }
 
 // Begin records that the request is sent to the server.
 func (s *State) Begin(fp Fingerprint, server string) *Run {
-	h := s.incarnations[server]
-	if h == nil {
-		h = &incarnation{runs: make(map[*Run]struct{})}
-		s.incarnations[server] = h
+	inc := s.incarnations[server]
+	if inc == nil {
+		inc = &incarnation{runs: make(map[*Run]struct{})}
+		s.incarnations[server] = inc
 	}
 	r := &Run{fp: fp, server: server}
 	if known := s.records[fp]; known != nil {
 		r.probe = !known.refusedAt.IsZero()
 	}
-	h.runs[r] = struct{}{}
+	inc.runs[r] = struct{}{}
 	s.inFlight[fp]++
 	return r
 }
@@ -73,37 +73,37 @@
 	if known := s.records[r.fp]; r.probe && how != NotRun && known != nil {
 		known.probes++
 	}
-	h := s.incarnations[r.server]
-	if h == nil {
+	inc := s.incarnations[r.server]
+	if inc == nil {
 		// The server crashed meanwhile, and the run was counted as one of its suspects.
 		return
 	}
-	delete(h.runs, r)
+	delete(inc.runs, r)
 	switch how {
 	case NotRun:
 		return
 	case Broken:
 		r.suspectUntil = now.Add(s.cfg.CrashConfirmTimeout)
 	case Complete:
-		h.lastResponse = now
+		inc.lastResponse = now
 		r.suspectUntil = now.Add(s.cfg.Settle)
 	default:
 		r.suspectUntil = now.Add(s.cfg.Settle)
 	}
-	h.ended = append(h.ended, r)
+	inc.ended = append(inc.ended, r)
 }
 
 // Gone records that the store no longer has an entry of this incarnation, or has one of a
 // later incarnation, although the server had not announced its shutdown. This counts as a
 // crash only if an answer of the server was interrupted: otherwise it may still be running.
 func (s *State) Gone(now time.Time, server string) {
-	h := s.incarnations[server]
-	if h == nil {
+	inc := s.incarnations[server]
+	if inc == nil {
 		return
 	}
-	for _, r := range h.ended {
+	for _, r := range inc.ended {
 		if r.ending == Broken && r.suspectUntil.After(now) {
-			clear(h.runs)
+			clear(inc.runs)
 			s.Crash(now, server)
 			return
 		}
@@ -113,12 +113,12 @@
 // Alive records that the server answers or accepts connections: earlier interrupted answers
 // were cut off by the network, unless the server crashes right after.
 func (s *State) Alive(now time.Time, server string) {
-	h := s.incarnations[server]
-	if h == nil {
+	inc := s.incarnations[server]
+	if inc == nil {
 		return
 	}
-	h.lastResponse = now
-	for _, r := range h.ended {
+	inc.lastResponse = now
+	for _, r := range inc.ended {
 		if until := now.Add(s.cfg.Settle); r.ending == Broken && r.suspectUntil.After(until) {
 			r.suspectUntil = until
 		}
@@ -128,21 +128,21 @@
 // settleRuns clears the requests of completed runs that the server survived, and drops runs
 // whose time is over.
 func (s *State) settleRuns(now time.Time) {
-	for server, h := range s.incarnations {
-		keep := h.ended[:0]
-		for _, r := range h.ended {
+	for server, inc := range s.incarnations {
+		keep := inc.ended[:0]
+		for _, r := range inc.ended {
 			expired := !r.suspectUntil.After(now)
 			switch {
-			case r.ending == Complete && (expired || h.survived(r, s.cfg.Outlive)):
+			case r.ending == Complete && (expired || inc.survived(r, s.cfg.Outlive)):
 				s.successes.add(r.fp, r.endedAt)
 				s.clear(now, r.endedAt.Add(s.cfg.SuccessTTL), r.fp, BySuccess)
 			case !expired:
 				keep = append(keep, r)
 			}
 		}
-		clear(h.ended[len(keep):])
-		h.ended = keep
-		if len(h.ended) == 0 && len(h.runs) == 0 {
+		clear(inc.ended[len(keep):])
+		inc.ended = keep
+		if len(inc.ended) == 0 && len(inc.runs) == 0 {
 			delete(s.incarnations, server)
 		}
 	}
@@ -151,8 +151,8 @@
 // suspects returns the requests that were running at the server, except those known to be
 // harmless.
 func (s *State) suspects(now time.Time, server string) map[Fingerprint]struct{} {
-	h := s.incarnations[server]
-	if h == nil {
+	inc := s.incarnations[server]
+	if inc == nil {
 		return nil
 	}
 	out := make(map[Fingerprint]struct{})
@@ -162,16 +162,16 @@
 		}
 	}
 	// Runs in flight and interrupted ones come first, as they are the likeliest cause.
-	for r := range h.runs {
+	for r := range inc.runs {
 		add(r.fp)
 	}
-	for _, r := range h.ended {
+	for _, r := range inc.ended {
 		if r.ending == Broken && r.suspectUntil.After(now) {
 			add(r.fp)
 		}
 	}
-	for _, r := range h.ended {
-		if r.ending != Broken && r.suspectUntil.After(now) && !h.survived(r, s.cfg.Outlive) {
+	for _, r := range inc.ended {
+		if r.ending != Broken && r.suspectUntil.After(now) && !inc.survived(r, s.cfg.Outlive) {
 			add(r.fp)
 		}
 	}
--- a/coordination/quarantine/small_service_test.go
+++ b/coordination/quarantine/small_service_test.go
@@ -21,7 +21,7 @@
 	smallGap   = 12 * time.Millisecond
 	smallRun   = 200 * time.Millisecond
 	smallRetry = time.Second
-	// One request in commonEvery is one of the commonRequests that several callers send.
+	// commonEvery: one request in so many is one of the commonRequests that several callers send.
 	commonEvery    = 5
 	commonRequests = 20
 	// crashingRequests is the number of requests that crash servers.
@@ -33,17 +33,17 @@
 	smallCrashIn     = 60 * time.Millisecond
 )
 
-// smallService is a run of the simulation; ended holds the crashes and sent the sends of each
-// request.
+// smallService is a run of the simulation; crashTimes holds the crashes and sendTimes the sends
+// of each request.
 type smallService struct {
 	*model
-	ended, sent map[Fingerprint][]time.Time
+	crashTimes, sendTimes map[Fingerprint][]time.Time
 }
 
 func simulateSmall(seed uint64) *smallService {
 	s := &smallService{
-		model: newModel(fleetSize{routers: 3, servers: 3, span: smallSpan}, seed),
-		ended: make(map[Fingerprint][]time.Time), sent: make(map[Fingerprint][]time.Time),
+		model:      newModel(fleetSize{routers: 3, servers: 3, span: smallSpan}, seed),
+		crashTimes: make(map[Fingerprint][]time.Time), sendTimes: make(map[Fingerprint][]time.Time),
 	}
 	clear(s.blocked)
 	s.load(0)
@@ -111,7 +111,7 @@
 	})
 }
 
-// insist keeps sending a request that crashes servers, sometimes as several copies.
+// sendCrashing keeps sending a request that crashes servers, sometimes as several copies.
 func (s *smallService) sendCrashing(fp Fingerprint, n int) {
 	copies := 1
 	if n%commonEvery == 0 {
@@ -122,13 +122,13 @@
 		if server == nil || router.Check(s.Now, fp) != Pass {
 			continue
 		}
-		s.sent[fp] = append(s.sent[fp], s.Now)
+		s.sendTimes[fp] = append(s.sendTimes[fp], s.Now)
 		server.runs[router.Begin(fp, server.name())] = router
 		incarnation := server.incarnation
 		s.After(s.between(0, smallCrashIn), func() {
 			if server.alive && server.incarnation == incarnation {
 				s.crash(server)
-				s.ended[fp] = append(s.ended[fp], s.Now)
+				s.crashTimes[fp] = append(s.crashTimes[fp], s.Now)
 			}
 		})
 	}
@@ -139,9 +139,9 @@
 // after its third crash.
 func (s *smallService) maxLate() int {
 	most := 0
-	for fp, ended := range s.ended {
+	for fp, ended := range s.crashTimes {
 		late := 0
-		for _, at := range s.sent[fp] {
+		for _, at := range s.sendTimes[fp] {
 			if len(ended) >= 3 && at.After(ended[2].Add(contact)) {
 				late++
 			}
--- a/coordination/report/report.go
+++ b/coordination/report/report.go
@@ -62,10 +62,10 @@
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Joined is sent when a router's control stream opens. The router gets a report at once.
+// Connected is the event of a router's control stream opening. It gets a report at once.
 type Connected struct{ Router string }
 
-// Parted is sent when a router's control stream ends.
+// Disconnected is the event of a router's control stream ending.
 type Disconnected struct{ Router string }
 
 // Changed carries the sidecar's current room.
--- a/coordination/selfcheck/selfcheck.go
+++ b/coordination/selfcheck/selfcheck.go
@@ -71,9 +71,9 @@
 type Signs struct {
 	// Late: the router reads its input late.
 	Late bool
-	// Deaf: all other routers fell silent at once.
+	// ReceivesNothing: all other routers fell silent at once.
 	ReceivesNothing bool
-	// Cut: servers of all data centres are unreachable.
+	// Partitioned: servers of all data centres are unreachable.
 	Partitioned bool
 }
 
