--- a/coordination/saturation/heap.go
+++ b/coordination/saturation/heap.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// Heap growth targets of the collector, in percent of what lives. Memory is
-// paid for at its peak, and a calm router has processor time to spare. A late one
-// needs the time more.
+// Heap growth targets of the garbage collector, in percent of the live heap. Memory is paid
+// for at its peak, and a router that reads its input on time has processor time to spare; a
+// late router needs that time more than the memory.
 const (
 	CalmGrowth = 60
 	LateGrowth = 200
 )
 
-// Lateness from which the router collects less, and below which it collects
-// more again.
+// Mean lateness above which the router collects garbage less often, and below which it
+// returns to frequent collections.
 const (
-	lateHeap = 10 * time.Millisecond
-	calmHeap = 3 * time.Millisecond
+	highLateness = 10 * time.Millisecond
+	lowLateness  = 3 * time.Millisecond
 )
 
-// HeapGrowth returns the target for the mean lateness; now is the one in force.
-func HeapGrowth(now int, late time.Duration) int {
+// HeapGrowth returns the growth target for the mean lateness; current is the target in
+// force.
+func HeapGrowth(current int, late time.Duration) int {
 	switch {
-	case late > lateHeap:
+	case late > highLateness:
 		return LateGrowth
-	case late < calmHeap:
+	case late < lowLateness:
 		return CalmGrowth
 	default:
-		return now
+		return current
 	}
 }
--- a/coordination/saturation/limit.go
+++ b/coordination/saturation/limit.go
@@ -4,98 +4,101 @@
 
 // LimitConfig holds the constants of a Limit.
 type LimitConfig struct {
-	// High is the mean lateness above which fewer requests may be held, Low
-	// the one below which more may. Default 50ms and 20ms: a first token is
-	// delayed by a tenth of its objective, and refusals alone do not take the
-	// places of streams.
-	High time.Duration
-	Low  time.Duration
-	// Every is the time between two changes. Default 250ms, in which the mean
-	// has forgotten the load before the last change.
-	Every time.Duration
-	// Shrink and Grow are the factors of a change. Default 0.85 and 1.05.
-	Shrink float64
-	Grow   float64
-	// Forget is the factor of a change while few streams are held, which tell nothing of
-	// how many more could be. Default 1.005: the limit doubles in half a minute.
-	Forget float64
-	// Least is the least number of streams. Default 64, which the smallest
-	// instances pass on with ease.
-	Least int
-	// First is the number of streams at the start, and Start the factor of a change
-	// until the router was late for the first time. Defaults 128 and 1.6.
-	First int
-	Start float64
+	// HighLateness is the mean lateness above which the limit shrinks, and LowLateness the
+	// one below which it grows. Defaults 50ms and 20ms: a first token is delayed by a tenth
+	// of its latency objective, and the lateness caused by refusals alone does not reduce
+	// the number of streams.
+	HighLateness time.Duration
+	LowLateness  time.Duration
+	// Interval is the time between two changes of the limit. Default 250ms, within which the
+	// load before the last change has dropped out of the mean.
+	Interval time.Duration
+	// ShrinkFactor and GrowFactor are the factors of a change. Defaults 0.85 and 1.05.
+	ShrinkFactor float64
+	GrowFactor   float64
+	// LowUseGrowFactor is the factor of a change while few streams are open, which does not
+	// show how many more the router could run. Default 1.005: the limit doubles in half a
+	// minute.
+	LowUseGrowFactor float64
+	// Min is the smallest limit. Default 64, which the smallest instances relay with ease.
+	Min int
+	// Initial is the limit at the start, and StartFactor the factor of a change until the
+	// router was late for the first time. Defaults 128 and 1.6.
+	Initial     int
+	StartFactor float64
 }
 
 // DefaultLimitConfig returns the documented defaults.
 func DefaultLimitConfig() LimitConfig {
 	return LimitConfig{
-		High: 50 * time.Millisecond, Low: 20 * time.Millisecond, Every: 250 * time.Millisecond, Shrink: 0.85, Grow: 1.05, Forget: 1.005, Least: 64, First: 128, Start: 1.6,
+		HighLateness: 50 * time.Millisecond, LowLateness: 20 * time.Millisecond, Interval: 250 * time.Millisecond, ShrinkFactor: 0.85, GrowFactor: 1.05, LowUseGrowFactor: 1.005, Min: 64, Initial: 128, StartFactor: 1.6,
 	}
 }
 
-// Limit bounds the streams that a router holds by what its processor can pass
-// on: each open stream costs processor time all the while, unlike a refusal,
-// after which the caller comes back to another router. It grows and shrinks as
-// the congestion window of a transport protocol does.
+// Limit bounds the open streams of a router by what its processor can relay: an open stream
+// costs processor time for as long as it lasts, unlike a refusal, after which the caller
+// retries at another router. The limit grows and shrinks like the congestion window of a
+// transport protocol.
 type Limit struct {
-	cfg     LimitConfig
-	most    float64
-	changed time.Time
-	// settled tells that the router was late once.
-	settled bool
+	cfg       LimitConfig
+	max       float64
+	changedAt time.Time
+	// wasLate is true if the router was late at least once, which ends the fast growth of
+	// the start.
+	wasLate bool
 }
 
-// NewLimit returns a limit that grows fast until the router is late: a flood that comes
-// all at once brings more streams than it can pass on before it is.
-func NewLimit(cfg LimitConfig) *Limit { return &Limit{cfg: cfg, most: float64(cfg.First)} }
+// NewLimit returns a limit that grows fast until the router is late for the first time. It
+// starts low because a sudden flood opens more streams than the router can relay before it
+// is late.
+func NewLimit(cfg LimitConfig) *Limit { return &Limit{cfg: cfg, max: float64(cfg.Initial)} }
 
-// usedShare is the part of the limit from which the streams held show whether more can
-// be.
-const usedShare = 0.75
+// usedFraction is the part of the limit from which the number of open streams shows whether
+// the router could run more.
+const usedFraction = 0.75
 
-// Adjust takes the mean lateness and the number of requests held.
-func (l *Limit) Adjust(now time.Time, late time.Duration, held int) {
-	if now.Sub(l.changed) < l.cfg.Every {
+// Adjust updates the limit from the mean lateness and the number of open streams.
+func (l *Limit) Adjust(now time.Time, late time.Duration, open int) {
+	if now.Sub(l.changedAt) < l.cfg.Interval {
 		return
 	}
 	switch {
-	case late > l.cfg.High && float64(held) < l.most/2:
-		// What makes the router late is not the streams.
+	case late > l.cfg.HighLateness && float64(open) < l.max/2:
+		// So few streams are not the cause of the lateness.
 		return
-	case late > l.cfg.High:
-		l.settled = true
-		l.most = max(min(float64(held), l.most)*l.cfg.Shrink, float64(l.cfg.Least))
-	case late < l.cfg.Low && float64(held) < usedShare*l.most:
-		l.most *= l.cfg.Forget
-	case late < l.cfg.Low && !l.settled:
-		l.most *= l.cfg.Start
-	case late < l.cfg.Low:
-		l.most *= l.cfg.Grow
+	case late > l.cfg.HighLateness:
+		l.wasLate = true
+		l.max = max(min(float64(open), l.max)*l.cfg.ShrinkFactor, float64(l.cfg.Min))
+	case late < l.cfg.LowLateness && float64(open) < usedFraction*l.max:
+		l.max *= l.cfg.LowUseGrowFactor
+	case late < l.cfg.LowLateness && !l.wasLate:
+		l.max *= l.cfg.StartFactor
+	case late < l.cfg.LowLateness:
+		l.max *= l.cfg.GrowFactor
 	default:
 		return
 	}
-	l.changed = now
+	l.changedAt = now
 }
 
-// Most returns the greatest number of streams.
-func (l *Limit) Most() int { return int(l.most) }
+// Most returns the greatest number of open streams.
+func (l *Limit) Most() int { return int(l.max) }
 
-// Figures of Admits.
+// Constants of Admits.
 const (
-	// smallShare of the streams may be held by a team while others fill the
-	// router, and overFill is how far beyond the limit this may go.
-	smallShare = 1.0 / 8
-	overFill   = 1.5
+	// smallFraction is the part of the limit below which a team still gets a stream while
+	// other teams fill the router, and overcommit is how far beyond the limit such streams
+	// may go.
+	smallFraction = 1.0 / 8
+	overcommit    = 1.5
 )
 
-// Admits reports whether a router that may hold most streams (0: no bound), and
-// holds some, of which the team has its own, may hold one more of the team. A
-// team that floods the router does not push the others out.
-func Admits(most, held, own int) bool {
-	if most == 0 || held < most {
+// Admits reports whether a router with the stream limit (0: no limit), the open streams and
+// the team's own part of them may open one more for the team. A team that floods the router
+// does not starve the others.
+func Admits(limit, open, own int) bool {
+	if limit == 0 || open < limit {
 		return true
 	}
-	return float64(own) < smallShare*float64(most) && float64(held) < overFill*float64(most)
+	return float64(own) < smallFraction*float64(limit) && float64(open) < overcommit*float64(limit)
 }
--- a/coordination/saturation/saturation_test.go
+++ b/coordination/saturation/saturation_test.go
@@ -7,18 +7,18 @@
 	qt "github.com/frankban/quicktest"
 )
 
-const every = 25 * time.Millisecond
+const interval = 25 * time.Millisecond
 
-// observe feeds the lateness for the time.
+// observe feeds the lateness to the tracker for the time span.
 func observe(t *Tracker, late, span time.Duration) {
-	for range span / every {
+	for range span / interval {
 		t.Observe(late)
 	}
 }
 
-// One caller floods a small router: it is saturated within half a second, and until
-// its input is read in time again.
-func TestAFloodedRouterIsSaturatedUntilItIsOver(t *testing.T) {
+// One caller floods a small router: the router is saturated within half a second and stays
+// so until its input is read on time again.
+func TestFloodedRouterStaysSaturatedUntilFloodEnds(t *testing.T) {
 	tr := New(DefaultConfig())
 	observe(tr, time.Millisecond, 5*time.Second)
 	qt.Check(t, tr.Saturated(), qt.IsFalse)
@@ -32,33 +32,34 @@
 	qt.Check(t, tr.Calm(), qt.IsTrue)
 }
 
-// A single long pause, such as a freeze or a collection, is no saturation.
-func TestASingleLateTimerIsNoSaturation(t *testing.T) {
+// A single long pause, such as a freeze or a garbage collection, does not count as
+// saturation.
+func TestSingleLateTimerDoesNotSaturate(t *testing.T) {
 	tr := New(DefaultConfig())
 	tr.Observe(200 * time.Millisecond)
 	qt.Check(t, tr.Saturated(), qt.IsFalse)
 }
 
-// A flood of streams that the processor cannot pass on settles at what it can,
-// and the limit rises again afterwards.
-func TestTheLimitSettlesAtWhatTheProcessorCanDo(t *testing.T) {
+// Under a flood of streams that exceeds the processor, the limit settles at what the
+// processor can relay, and rises again afterwards.
+func TestLimitSettlesAtProcessorCapacity(t *testing.T) {
 	const capacity = 200
-	l, now, held := NewLimit(DefaultLimitConfig()), time.Unix(1000, 0), 0
+	l, now, open := NewLimit(DefaultLimitConfig()), time.Unix(1000, 0), 0
 	for range 400 {
 		for range 20 {
-			if Admits(l.Most(), held, held) {
-				held++
+			if Admits(l.Most(), open, open) {
+				open++
 			}
 		}
-		held -= held / 20
+		open -= open / 20
 		late := time.Millisecond
-		if held > capacity {
-			late = time.Duration(held-capacity) * time.Millisecond
+		if open > capacity {
+			late = time.Duration(open-capacity) * time.Millisecond
 		}
 		now = now.Add(50 * time.Millisecond)
-		l.Adjust(now, late, held)
+		l.Adjust(now, late, open)
 	}
-	qt.Check(t, held > capacity*8/10 && held < capacity*12/10, qt.IsTrue, qt.Commentf("%d held", held))
+	qt.Check(t, open > capacity*8/10 && open < capacity*12/10, qt.IsTrue, qt.Commentf("%d held", open))
 	before := l.Most()
 	for range 40 {
 		now = now.Add(250 * time.Millisecond)
@@ -67,9 +68,9 @@
 	qt.Check(t, l.Most() > 5*before, qt.IsTrue)
 }
 
-// Guards against a router that forgets in a quiet moment what it can pass on, so that the
-// next wave of a flood makes it late once more.
-func TestAQuietMomentDoesNotUndoTheLimit(t *testing.T) {
+// Guards against a limit that grows far above the router's capacity during a period of low
+// load, so that the next wave of a flood makes the router late again.
+func TestIdlePeriodDoesNotUndoLimit(t *testing.T) {
 	l, now := NewLimit(DefaultLimitConfig()), time.Unix(1000, 0)
 	l.Adjust(now, 80*time.Millisecond, 200)
 	before := l.Most()
@@ -78,7 +79,7 @@
 		l.Adjust(now, time.Millisecond, 10)
 	}
 	qt.Check(t, l.Most() >= before && l.Most() < before*13/10, qt.IsTrue, qt.Commentf("%d after %d", l.Most(), before))
-	// In half a minute more it is forgotten all the same.
+	// After half a minute more the old limit no longer holds.
 	for range 240 {
 		now = now.Add(250 * time.Millisecond)
 		l.Adjust(now, time.Millisecond, 10)
@@ -86,11 +87,11 @@
 	qt.Check(t, l.Most() > 2*before, qt.IsTrue)
 }
 
-// A team that floods the router does not push the small ones out.
-func TestAFloodLeavesRoomForOthers(t *testing.T) {
+// A team that floods the router does not starve small teams.
+func TestFloodLeavesRoomForOtherTeams(t *testing.T) {
 	for _, tc := range []struct {
-		most, held, own int
-		want            bool
+		limit, open, own int
+		want             bool
 	}{
 		{0, 5000, 5000, true},
 		{100, 99, 99, true},
@@ -100,12 +101,12 @@
 		{100, 149, 13, false},
 		{100, 150, 0, false},
 	} {
-		qt.Check(t, Admits(tc.most, tc.held, tc.own), qt.Equals, tc.want, qt.Commentf("%+v", tc))
+		qt.Check(t, Admits(tc.limit, tc.open, tc.own), qt.Equals, tc.want, qt.Commentf("%+v", tc))
 	}
 }
 
-// Refusals alone can make a router late; fewer streams would not help.
-func TestRefusalsDoNotTakeThePlacesOfStreams(t *testing.T) {
+// Refusals alone can make a router late; a lower stream limit would not help then.
+func TestRefusalsDoNotShrinkStreamLimit(t *testing.T) {
 	l, now := NewLimit(DefaultLimitConfig()), time.Unix(1000, 0)
 	l.Adjust(now, 80*time.Millisecond, 300)
 	before := l.Most()
@@ -117,12 +118,11 @@
 	qt.Check(t, l.Most(), qt.Equals, before)
 }
 
-// Pattern: the balancer brings one caller's flood to one small router, which
-// refuses 1,500 requests a second and reads 40 ms late while it passes on 200
-// streams. Ground: these are in time all the same, and are what the flooding
-// team gets of its share (seen on plgc-port-grown, FAIR): they are not fewer
-// for that.
-func TestALateRouterKeepsItsStreams(t *testing.T) {
+// Guards against a stream limit that shrinks though the open streams are served in time.
+// The balancer sends one caller's flood to one small router, which refuses 1,500 requests a
+// second and reads 40 ms late while it relays 200 streams. These streams are the flooding
+// team's part of its share (seen on plgc-port-grown, FAIR).
+func TestModeratelyLateRouterKeepsItsLimit(t *testing.T) {
 	l, now := NewLimit(DefaultLimitConfig()), time.Unix(1000, 0)
 	l.Adjust(now, 80*time.Millisecond, 250)
 	before := l.Most()
@@ -133,9 +133,9 @@
 	qt.Check(t, l.Most(), qt.Equals, before)
 }
 
-// A calm router keeps its memory small, a late one its processor time; between
-// the two it changes nothing, so that it does not go back and forth.
-func TestALateRouterCollectsLess(t *testing.T) {
+// A router that is on time keeps its heap small, a late one saves processor time. Between
+// the two thresholds the target does not change, so that it does not oscillate.
+func TestLateRouterCollectsGarbageLess(t *testing.T) {
 	growth := CalmGrowth
 	for _, step := range []struct {
 		late time.Duration
