--- a/coordination/rotation/rotation.go
+++ b/coordination/rotation/rotation.go
@@ -1,17 +1,16 @@
-// Package rotation decides when a router that has more work than it can do leaves the
-// balancer's rotation, and when it is back, together with the other routers of its data
-// centre.
+// Package rotation decides when an overloaded router leaves the balancer's rotation and
+// when it returns, in agreement with the other routers of its data centre.
 //
-// The pattern that it answers: one team's callers flood a data centre. The balancer
-// takes its routers for a caller in one order, so that the flood falls on one router
-// after another until one bears it, and falls back on the first that is ready again,
-// which closes thousands of connections before it has left once more. So those that
-// could not bear it stay away for long. But the balancer sends callers to all routers of
-// a data centre, also to those that are not ready, as soon as fewer than half of them
-// are ready: so never more than half may be away, and when another one must leave, the
-// one that is away for longest comes back.
+// It answers this pattern: one team's callers flood a data centre. The balancer tries its
+// routers for a caller in a fixed order, so the flood hits one router after another until
+// one can handle it, and falls back on the first that is ready again, which closes
+// thousands of connections before it leaves once more. So routers that could not handle the
+// flood stay out of rotation for long. But as soon as fewer than half of the routers of a
+// data centre are ready, the balancer sends callers to all of them, ready or not. So never
+// more than half may be out of rotation, and when another router must leave, the one that
+// has been out longest returns.
 //
-// A State is pure. Direct routers use it.
+// A State performs no I/O and reads no clock. Direct routers use it.
 package rotation
 
 import (
@@ -22,31 +21,31 @@
 
 // Config holds the times and numbers of a State.
 type Config struct {
-	// LeastPause is the least time for which a router stays away. Default 6s: the
-	// balancer needs two seconds to notice, and as long to take it back.
-	LeastPause time.Duration
-	// Hold is the greatest time for which it stays away when it has enough
-	// neighbours, unless one of them must leave. Default 60s, longer than most
+	// MinPause is the shortest time for which a router stays out of rotation. Default 6s:
+	// the balancer needs two seconds to notice the change, and as long to notice the return.
+	MinPause time.Duration
+	// MaxPause is the longest time for which a router stays out of rotation when it has
+	// enough neighbours, unless one of them must leave. Default 60s, longer than most
 	// floods.
-	Hold time.Duration
-	// Few is the number of routers of a data centre up to which each decides alone:
-	// without any, the balancer goes to other data centres. Their pause doubles, up
-	// to four times its least, while the load comes back at once. Default 3.
-	Few int
-	// SpareFrom is the number of routers from which one more than half stays in
-	// rotation, as one of them may be gone unnoticed. Default 6.
+	MaxPause time.Duration
+	// AloneUpTo is the number of routers of a data centre up to which each decides alone: if
+	// none is ready, the balancer uses other data centres. Their pause doubles, up to four
+	// times MinPause, while the load returns at once. Default 3.
+	AloneUpTo int
+	// SpareFrom is the number of routers from which one more than half stays in rotation,
+	// because one of them may have failed unnoticed. Default 6.
 	SpareFrom int
-	// Silent is the time after which a neighbour that tells nothing counts as away,
-	// and Gone that after which it counts no more; three and six times the period in
-	// which neighbours tell, if that is longer. Defaults 3s and 10s.
-	Silent time.Duration
-	Gone   time.Duration
+	// SilentAfter is the time after which a neighbour without a new status counts as out of
+	// rotation, and GoneAfter the time after which it is no longer counted at all; three and
+	// six times the period between statuses if that is longer. Defaults 3s and 10s.
+	SilentAfter time.Duration
+	GoneAfter   time.Duration
 }
 
 // DefaultConfig returns the documented defaults.
 func DefaultConfig() Config {
 	return Config{
-		LeastPause: 6 * time.Second, Hold: time.Minute, Few: 3, SpareFrom: 6, Silent: 3 * time.Second, Gone: 10 * time.Second,
+		MinPause: 6 * time.Second, MaxPause: time.Minute, AloneUpTo: 3, SpareFrom: 6, SilentAfter: 3 * time.Second, GoneAfter: 10 * time.Second,
 	}
 }
 
@@ -58,81 +57,80 @@
 			err = errors.CombineErrors(err, errors.New(what))
 		}
 	}
-	check(c.LeastPause > 0, "LeastPause must be positive")
-	check(c.Hold >= c.LeastPause, "Hold must be at least LeastPause")
-	check(c.Few > 0, "Few must be positive")
+	check(c.MinPause > 0, "MinPause must be positive")
+	check(c.MaxPause >= c.MinPause, "MaxPause must be at least MinPause")
+	check(c.AloneUpTo > 0, "AloneUpTo must be positive")
 	check(c.SpareFrom > 0, "SpareFrom must be positive")
-	check(c.Silent > 0 && c.Gone >= c.Silent, "Gone must be at least Silent, both positive")
+	check(c.SilentAfter > 0 && c.GoneAfter >= c.SilentAfter, "GoneAfter must be at least SilentAfter, both positive")
 	return err
 }
 
-// Word is what a router tells its neighbours.
+// Word is what a router sends to its neighbours.
 type Word struct {
-	// Away is for how long it has been out of rotation; 0: it is in.
+	// Away is for how long the router has been out of rotation; 0: it is in rotation.
 	Away time.Duration
-	// Late tells that it has more work than it can do.
+	// Late is true if the router has more work than it can do.
 	Late bool
 }
 
 // neighbour is another router of the data centre.
 type neighbour struct {
-	word Word
-	at   time.Time
+	status     Word
+	receivedAt time.Time
 }
 
-// State is one router's place in the rotation. It must be used by one goroutine at a
-// time.
+// State is one router's view of the rotation. It must be used by one goroutine at a time.
 type State struct {
 	cfg        Config
 	neighbours map[string]neighbour
-	late       bool
-	away       bool
-	// left and back are when it left last and was back last.
-	left, back time.Time
-	pause      time.Duration
-	// period is the time between two words of a neighbour.
+	overloaded bool
+	out        bool
+	// leftAt and returnedAt are when the router last left the rotation and last returned.
+	leftAt, returnedAt time.Time
+	pause              time.Duration
+	// period is the time between two statuses of a neighbour.
 	period time.Duration
 }
 
-// New returns the state of a router that is in rotation and has heard of nobody. The
-// config must be valid.
+// New returns the state of a router that is in rotation and knows no neighbours. The config
+// must be valid.
 func New(cfg Config) *State {
-	return &State{cfg: cfg, neighbours: make(map[string]neighbour), pause: cfg.LeastPause}
+	return &State{cfg: cfg, neighbours: make(map[string]neighbour), pause: cfg.MinPause}
 }
 
-// SetPeriod tells how much time lies between two words of a neighbour.
+// SetPeriod sets the time between two statuses of a neighbour.
 func (s *State) SetPeriod(period time.Duration) { s.period = period }
 
-func (s *State) silentAfter() time.Duration { return max(s.cfg.Silent, 3*s.period) }
+func (s *State) silentAfter() time.Duration { return max(s.cfg.SilentAfter, 3*s.period) }
 
-func (s *State) goneAfter() time.Duration { return max(s.cfg.Gone, 6*s.period) }
+func (s *State) goneAfter() time.Duration { return max(s.cfg.GoneAfter, 6*s.period) }
 
-// Heard takes the word of another router of the data centre.
-func (s *State) Heard(now time.Time, router string, w Word) {
-	s.neighbours[router] = neighbour{word: w, at: now}
+// Heard records the status of another router of the data centre.
+func (s *State) Heard(now time.Time, router string, status Word) {
+	s.neighbours[router] = neighbour{status: status, receivedAt: now}
 }
 
-// Word returns what this router tells its neighbours.
+// Word returns what this router sends to its neighbours.
 func (s *State) Word(now time.Time) Word {
-	w := Word{Late: s.late}
-	if s.away {
-		w.Away = max(now.Sub(s.left), time.Millisecond)
+	status := Word{Late: s.overloaded}
+	if s.out {
+		status.Away = max(now.Sub(s.leftAt), time.Millisecond)
 	}
-	return w
+	return status
 }
 
 // Away reports whether the router is out of rotation.
-func (s *State) Away() bool { return s.away }
+func (s *State) Away() bool { return s.out }
 
-// Observe takes whether the router has more work than it can do, and whether it is
-// calm: it may be neither. It reports whether the router left or is back.
-func (s *State) Observe(now time.Time, late, calm bool) (changed bool) {
-	s.late = late
+// Observe takes whether the router is overloaded and whether it reads its input on time;
+// both may be false. It reports whether the router left the rotation or returned.
+func (s *State) Observe(now time.Time, overloaded, onTime bool) (changed bool) {
+	s.overloaded = overloaded
 	switch {
-	case !s.away && late && s.mayLeave(now):
+	case !s.out && overloaded && s.mayLeave(now):
 		s.leave(now)
-	case s.away && calm && s.mayReturn(now):
-		s.away, s.back = false, now
+	case s.out && onTime && s.mayReturn(now):
+		s.out, s.returnedAt = false, now
 	default:
 		return false
 	}
@@ -140,84 +138,85 @@
 }
 
 func (s *State) leave(now time.Time) {
-	if !s.back.IsZero() && now.Sub(s.back) < 2*s.pause {
-		s.pause = min(2*s.pause, mostDoubled*s.cfg.LeastPause)
+	if !s.returnedAt.IsZero() && now.Sub(s.returnedAt) < 2*s.pause {
+		s.pause = min(2*s.pause, maxPauseFactor*s.cfg.MinPause)
 	} else {
-		s.pause = s.cfg.LeastPause
+		s.pause = s.cfg.MinPause
 	}
-	s.away, s.left = true, now
+	s.out, s.leftAt = true, now
 }
 
-// mostDoubled bounds the doublings of a pause.
-const mostDoubled = 4
+// maxPauseFactor bounds the doublings of a pause.
+const maxPauseFactor = 4
 
-// mayLeave reports whether enough others are left.
+// mayLeave reports whether enough other routers remain in rotation.
 func (s *State) mayLeave(now time.Time) bool {
-	all, away := s.count(now)
-	return all <= s.cfg.Few || away < s.mostAway(all)
+	all, out := s.count(now)
+	return all <= s.cfg.AloneUpTo || out < s.maxOut(all)
 }
 
-// mayReturn reports whether the router has been away for long enough: for Hold, or
-// until too many are away, or until a neighbour must leave that cannot, unless another
-// one that is away for longer can come back for it.
+// mayReturn reports whether the router has been out of rotation for long enough: for
+// MaxPause, or until too many are out, or until a neighbour must leave that cannot, unless
+// another router that has been out longer can return in its place.
 func (s *State) mayReturn(now time.Time) bool {
 	all, away := s.count(now)
-	since := now.Sub(s.left)
+	since := now.Sub(s.leftAt)
 	switch {
-	case all <= s.cfg.Few:
+	case all <= s.cfg.AloneUpTo:
 		return since >= s.pause
-	case since < s.cfg.LeastPause:
+	case since < s.cfg.MinPause:
 		return false
-	case since >= s.cfg.Hold || away >= s.mostAway(all):
+	case since >= s.cfg.MaxPause || away >= s.maxOut(all):
 		return true
 	default:
-		return away+1 >= s.mostAway(all) && s.isWanted(now) && s.isFirstToReturn(now)
+		return away+1 >= s.maxOut(all) && s.isNeeded(now) && s.isFirstToReturn(now)
 	}
 }
 
-// count returns the number of routers of the data centre and of the others that are
-// away.
-func (s *State) count(now time.Time) (all, away int) {
+// count returns the number of routers of the data centre, and how many of the other routers
+// are out of rotation.
+func (s *State) count(now time.Time) (all, out int) {
 	all = 1
 	for id, n := range s.neighbours {
-		silent := now.Sub(n.at)
+		silent := now.Sub(n.receivedAt)
 		if silent > s.goneAfter() {
 			delete(s.neighbours, id)
 			continue
 		}
 		all++
-		if n.word.Away > 0 || silent > s.silentAfter() {
-			away++
+		if n.status.Away > 0 || silent > s.silentAfter() {
+			out++
 		}
 	}
-	return all, away
+	return all, out
 }
 
-// mostAway is the number of routers that may be away of all.
-func (s *State) mostAway(all int) int {
-	most := all / 2
+// maxOut is the number of routers, of all, that may be out of rotation.
+func (s *State) maxOut(all int) int {
+	limit := all / 2
 	if all >= s.cfg.SpareFrom {
-		most--
+		limit--
 	}
-	return most
+	return limit
 }
 
-// isWanted reports whether a neighbour in rotation has more work than it can do.
-func (s *State) isWanted(now time.Time) bool {
+// isNeeded reports whether a neighbour in rotation is overloaded.
+func (s *State) isNeeded(now time.Time) bool {
 	for _, n := range s.neighbours {
-		if n.word.Late && n.word.Away == 0 && now.Sub(n.at) <= s.silentAfter() {
+		if n.status.Late && n.status.Away == 0 && now.Sub(n.receivedAt) <= s.silentAfter() {
 			return true
 		}
 	}
 	return false
 }
 
-// isFirstToReturn reports whether no neighbour that could return is away for longer.
+// isFirstToReturn reports whether no neighbour that could return has been out of rotation
+// for longer.
 func (s *State) isFirstToReturn(now time.Time) bool {
-	own := now.Sub(s.left)
+	own := now.Sub(s.leftAt)
 	for _, n := range s.neighbours {
-		age := now.Sub(n.at)
-		if n.word.Away > 0 && !n.word.Late && age <= s.silentAfter() && n.word.Away+age > own {
+		age := now.Sub(n.receivedAt)
+		if n.status.Away > 0 && !n.status.Late && age <= s.silentAfter() && n.status.Away+age > own {
 			return false
 		}
 	}
--- a/coordination/rotation/rotation_test.go
+++ b/coordination/rotation/rotation_test.go
@@ -9,46 +9,46 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Times of the model: how often routers look at themselves and tell their neighbours,
-// and how long the balancer takes to notice.
+// Times of the model: how often routers observe their own load and send their status to
+// their neighbours, and how long the balancer takes to notice a change.
 const (
-	step    = 50 * time.Millisecond
-	tell    = 150 * time.Millisecond
-	notices = 2 * time.Second
-	// overload is how long a router takes to be late under a flood that it cannot
-	// bear, and relief how long to be calm again.
-	overload = 500 * time.Millisecond
-	relief   = 300 * time.Millisecond
+	step         = 50 * time.Millisecond
+	statusPeriod = 150 * time.Millisecond
+	noticeDelay  = 2 * time.Second
+	// overloadAfter is how long a flood that a router cannot handle takes to overload it,
+	// and reliefAfter how long the router then takes to be on time again.
+	overloadAfter = 500 * time.Millisecond
+	reliefAfter   = 300 * time.Millisecond
 )
 
-// router is one of the model's.
+// router is a router of the model.
 type router struct {
 	id    string
 	state *State
 	large bool
 	alive bool
-	// ready is since when it is in or out of rotation, for the balancer.
+	// in is true if the router is in rotation, changed is when that changed last.
 	in      bool
 	changed time.Time
 	loaded  time.Duration
 	free    time.Duration
 }
 
-// dataCentre is a model of a balancer before the routers of a data centre of which a
-// flood takes one, in its own order.
+// dataCentre models a balancer in front of the routers of a data centre. A flood uses one
+// of them, chosen by an order of its own.
 type dataCentre struct {
-	now     time.Time
-	routers []*router
-	told    time.Time
-	// borne is the time in which the flood was at a router that bears it, crowded
-	// that in which fewer than half of the routers were in rotation.
-	borne, crowded time.Duration
+	now         time.Time
+	routers     []*router
+	exchangedAt time.Time
+	// handled is the time for which the flood was at a router that can handle it, and tooFew
+	// the time for which fewer than half of the routers were in rotation.
+	handled, tooFew time.Duration
 }
 
 func newDataCentre(large ...bool) *dataCentre {
 	d := &dataCentre{now: time.Unix(1000, 0)}
-	for i, is := range large {
-		d.routers = append(d.routers, &router{id: fmt.Sprint(i), state: New(DefaultConfig()), large: is, alive: true, in: true, free: relief})
+	for i, isLarge := range large {
+		d.routers = append(d.routers, &router{id: fmt.Sprint(i), state: New(DefaultConfig()), large: isLarge, alive: true, in: true, free: reliefAfter})
 	}
 	for range 100 {
 		d.exchange()
@@ -56,7 +56,7 @@
 	return d
 }
 
-// exchange lets routers hear each other.
+// exchange sends the status of each router to all others.
 func (d *dataCentre) exchange() {
 	for _, from := range d.routers {
 		for _, to := range d.routers {
@@ -65,32 +65,32 @@
 			}
 		}
 	}
-	d.told = d.now
+	d.exchangedAt = d.now
 }
 
-// rotated returns the routers to which the balancer sends callers.
-func (d *dataCentre) rotated() []*router {
+// inRotation returns the routers to which the balancer sends callers.
+func (d *dataCentre) inRotation() []*router {
 	var in []*router
 	for _, r := range d.routers {
-		// The balancer knows what a router said two seconds ago.
-		said := r.in
-		if d.now.Sub(r.changed) < notices {
-			said = !r.in
+		// The balancer acts on what a router reported two seconds ago.
+		reported := r.in
+		if d.now.Sub(r.changed) < noticeDelay {
+			reported = !r.in
 		}
-		if r.alive && said {
+		if r.alive && reported {
 			in = append(in, r)
 		}
 	}
 	return in
 }
 
-// run plays the flood, which takes the first router in rotation, of all when too few
-// are.
+// run plays the flood, which uses the first router in rotation, or the first of all when
+// too few are in rotation.
 func (d *dataCentre) run(span time.Duration, flooded bool) {
 	for end := d.now.Add(span); d.now.Before(end); d.now = d.now.Add(step) {
-		in := d.rotated()
+		in := d.inRotation()
 		if 2*len(in) < len(d.routers) && len(in) > 0 {
-			d.crowded += step
+			d.tooFew += step
 			in = nil
 			for _, r := range d.routers {
 				if r.alive {
@@ -102,10 +102,10 @@
 			hit := flooded && len(in) > 0 && in[0] == r
 			d.observe(r, hit)
 			if hit && r.large {
-				d.borne += step
+				d.handled += step
 			}
 		}
-		if d.now.Sub(d.told) >= tell {
+		if d.now.Sub(d.exchangedAt) >= statusPeriod {
 			d.exchange()
 		}
 	}
@@ -117,16 +117,16 @@
 	} else {
 		r.loaded, r.free = 0, r.free+step
 	}
-	if r.state.Observe(d.now, r.loaded >= overload, r.free >= relief) {
+	if r.state.Observe(d.now, r.loaded >= overloadAfter, r.free >= reliefAfter) {
 		r.in, r.changed = !r.state.Away(), d.now
 	}
 }
 
-// Pattern: one team floods a data centre whose small routers come first in its order.
-// Ground: each return of one of them costs the callers thousands of closed
-// connections; the large one that comes fifth bears the flood, once those before it
-// are away, and they stay away while it lasts.
-func TestAFloodFindsTheRouterThatBearsIt(t *testing.T) {
+// One team floods a data centre whose small routers come first in the flood's order. Each
+// return of one of them costs the callers thousands of closed connections. The large router
+// further on can handle the flood once those before it are out of rotation, and they stay
+// out while it lasts.
+func TestFloodReachesRouterThatCanHandleIt(t *testing.T) {
 	for name, large := range map[string][]bool{
 		"10 routers": {false, false, false, false, true, false, false, true, false, false},
 		"21 routers": {false, false, false, false, false, false, false, true, false, false, false, false, true, false, false, false, false, false, false, false, false},
@@ -134,26 +134,26 @@
 	} {
 		d := newDataCentre(large...)
 		d.run(60*time.Second, true)
-		qt.Check(t, d.borne > 40*time.Second, qt.IsTrue, qt.Commentf("%s: borne for %v", name, d.borne))
-		qt.Check(t, d.crowded, qt.Equals, time.Duration(0), qt.Commentf(name))
+		qt.Check(t, d.handled > 40*time.Second, qt.IsTrue, qt.Commentf("%s: handled for %v", name, d.handled))
+		qt.Check(t, d.tooFew, qt.Equals, time.Duration(0), qt.Commentf(name))
 	}
 }
 
-// Pattern: the flood's order has more small routers first than may be away. Ground: the
-// balancer takes all routers when fewer than half are ready, the overloaded ones, too:
-// one comes back when another must leave, so that never more than half are away.
-func TestNeverMoreThanHalfAreAway(t *testing.T) {
+// More small routers come first in the flood's order than may be out of rotation. The
+// balancer uses all routers, the overloaded ones included, when fewer than half are ready:
+// one returns when another must leave, so that never more than half are out.
+func TestNeverMoreThanHalfAreOutOfRotation(t *testing.T) {
 	for n := 4; n <= 21; n++ {
 		d := newDataCentre(make([]bool, n)...)
 		d.run(2*time.Minute, true)
-		qt.Check(t, d.crowded, qt.Equals, time.Duration(0), qt.Commentf("%d routers", n))
+		qt.Check(t, d.tooFew, qt.Equals, time.Duration(0), qt.Commentf("%d routers", n))
 	}
 }
 
-// Routers are killed and start again, knowing nobody, while floods come and go. One
-// that is killed beside as many as may be away is one too few, until the balancer
-// knows that others are back.
-func TestRoutersThatDieDuringAFlood(t *testing.T) {
+// Routers are killed and restart without knowledge of the others while floods come and go.
+// If one is killed while as many as allowed are out of rotation, there is one too few until
+// the balancer notices that others have returned.
+func TestRoutersFailDuringFlood(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		d := newDataCentre(false, false, false, true, false, false, false, true, false, false)
@@ -164,13 +164,13 @@
 			victim.alive, victim.state, victim.in, victim.changed = true, New(DefaultConfig()), true, d.now
 			d.run(time.Duration(3+rng.IntN(6))*time.Second, rng.IntN(3) > 0)
 		}
-		qt.Check(t, d.crowded < 10*time.Second, qt.IsTrue, qt.Commentf("seed %d: %v", seed, d.crowded))
+		qt.Check(t, d.tooFew < 10*time.Second, qt.IsTrue, qt.Commentf("seed %d: %v", seed, d.tooFew))
 	}
 }
 
-// In a fleet of 800 a neighbour tells something each four seconds; it does not count as
-// away in between.
-func TestRareWordsAreNoSilence(t *testing.T) {
+// In a fleet of 800 routers a neighbour sends its status every four seconds; it does not
+// count as out of rotation in between.
+func TestInfrequentStatusIsNotSilence(t *testing.T) {
 	for period, leaves := range map[time.Duration]bool{time.Second: false, 4 * time.Second: true} {
 		s, now := New(DefaultConfig()), time.Unix(1000, 0)
 		s.SetPeriod(period)
@@ -181,8 +181,8 @@
 	}
 }
 
-// Few routers decide alone: when none is ready, the balancer goes to other data
-// centres. Their pause doubles while the load comes back at once.
+// Few routers decide alone: when none is ready, the balancer uses other data centres. Their
+// pause doubles while the load returns at once.
 func TestFewRoutersDecideAlone(t *testing.T) {
 	for n := 1; n <= 3; n++ {
 		s, now := New(DefaultConfig()), time.Unix(1000, 0)
