--- a/coordination/mirror/entries.go
+++ b/coordination/mirror/entries.go
@@ -6,20 +6,20 @@
 	"goldcrestport/state/routing"
 )
 
-// InvalidEntry is an entry of the store that its owner cannot have written: what
-// it names is not used, and the other entries hold.
+// InvalidEntry is an entry of the store that its owner cannot have written: what it names
+// is not used, while the other entries stay valid.
 type InvalidEntry struct {
 	// Key of the entry, and the Revision at which it was written.
 	Key      string
 	Revision uint64
-	// Server is the id of the backend server that the key names; empty for
-	// entries of another kind.
+	// Server is the id of the backend server that the key names; empty for entries of
+	// another kind.
 	Server string
 	// Reason for the log.
 	Reason string
 }
 
-// Name is the server's id, or the key of an entry of another kind.
+// Name returns the server's id, or the key of an entry of another kind.
 func (e InvalidEntry) Name() string {
 	if e.Server != "" {
 		return e.Server
@@ -35,20 +35,20 @@
 	Since uint64
 }
 
-// Snapshot is everything that operators and backend servers wrote.
+// Snapshot is everything that operators and backend servers have written to the store.
 type Snapshot struct {
 	// Config is the newest configuration; nil if there is none yet.
 	Config  *routing.Config
 	Servers []roster.Server
-	// Invalid are entries that stand in the store and cannot be used.
+	// Invalid are entries in the store that cannot be used.
 	Invalid []InvalidEntry
 	// Routers are the registered routers by their ids.
 	Routers map[string]Registration
-	// Evacuated are the data centres whose servers are to get nothing.
+	// Evacuated are the data centres whose servers get no requests.
 	Evacuated []string
 	// Refused are the requests that crash servers.
 	Refused []quarantine.Entry
-	// Revision to ask for changes after.
+	// Revision after which to ask for changes.
 	Revision uint64
 }
 
@@ -57,23 +57,23 @@
 	// Config is the newest configuration; nil if it did not change.
 	Config  *routing.Config
 	Servers []roster.Server
-	// Removed are the ids of servers without an entry now.
+	// Removed are the ids of servers that no longer have an entry.
 	Removed []string
 	// Invalid are entries that changed and cannot be used.
 	Invalid []InvalidEntry
-	// Refused are requests that crash servers and were entered.
+	// Refused are requests that crash servers and were added.
 	Refused []quarantine.Entry
-	// Joined and Left are changes of the registered routers.
+	// Joined and Left are the routers that registered, and those whose registration ended.
 	Joined map[string]Registration
 	Left   []string
-	// Evacuated are data centres whose servers are to get nothing from now on,
-	// and Returned those of which that was taken back.
+	// Evacuated are data centres whose servers get no requests from now on, and Returned
+	// those whose evacuation was revoked.
 	Evacuated []string
 	Returned  []string
 	Revision  uint64
 }
 
-// IsEmpty reports whether nothing of what routers follow changed.
+// IsEmpty reports whether nothing changed that routers follow.
 func (d *Delta) IsEmpty() bool {
 	return d.Config == nil && len(d.Servers)+len(d.Removed)+len(d.Invalid)+len(d.Joined)+len(d.Left)+len(d.Evacuated)+len(d.Returned) == 0
 }
--- a/coordination/mirror/history.go
+++ b/coordination/mirror/history.go
@@ -7,35 +7,34 @@
 	"goldcrestport/coordination/roster"
 )
 
-// keptChanges bounds the changes that are kept for other routers: at ten
-// changes a second they reach back for half a minute.
-const keptChanges = 300
+// maxChanges bounds the changes that are kept for other routers: at ten changes a second
+// they cover half a minute.
+const maxChanges = 300
 
-// history holds the newest changes of the store, so that another router gets
-// what it lacks and not everything there is. Invariant: each change is the one
-// after the one before it.
+// history holds the newest changes of the store, so that another router can get only those
+// that it lacks. Invariant: the changes are consecutive.
 type history struct {
-	// since is the revision after which every change is here; 0: none is.
+	// since is the revision after which every change is held; 0: none is.
 	since   uint64
 	changes []Delta
 }
 
-// restart forgets everything before the revision.
+// restart drops all changes and continues from the revision.
 func (h *history) restart(revision uint64) {
 	h.since, h.changes = revision, nil
 }
 
-// add appends what changed last.
+// add appends the newest change.
 func (h *history) add(d Delta) {
 	h.changes = append(h.changes, d)
-	if excess := len(h.changes) - keptChanges; excess > 0 {
+	if excess := len(h.changes) - maxChanges; excess > 0 {
 		h.since = h.changes[excess-1].Revision
 		h.changes = slices.Delete(h.changes, 0, excess)
 	}
 }
 
-// after returns what changed after the revision as one change. It reports false
-// when that is not known any more.
+// after returns the changes after the revision merged into one. It reports false if they
+// are no longer all held.
 func (h *history) after(revision uint64) (Delta, bool) {
 	if h.since == 0 || revision < h.since {
 		return Delta{}, false
@@ -54,23 +53,23 @@
 
 // merged is the sum of changes: the last one of each key counts.
 type merged struct {
-	last    Delta
+	result  Delta
 	servers map[string]roster.Server
 	removed map[string]bool
-	// invalid holds the entries that cannot be used by their keys, servers' ones
-	// by the servers' ids.
+	// invalid are the entries that cannot be used by their keys, those of servers by the
+	// servers' ids.
 	invalid map[string]InvalidEntry
 	joined  map[string]Registration
 	left    map[string]bool
-	// evacuated tells of each data centre that changed whether it is.
+	// evacuated holds for each data centre with a change whether it is evacuated.
 	evacuated map[string]bool
 }
 
 func (m *merged) add(d Delta) {
 	if d.Config != nil {
-		m.last.Config = d.Config
+		m.result.Config = d.Config
 	}
-	m.last.Revision = d.Revision
+	m.result.Revision = d.Revision
 	for _, s := range d.Servers {
 		m.servers[s.ID] = s
 		delete(m.removed, s.ID)
@@ -81,12 +80,12 @@
 		delete(m.invalid, id)
 		m.removed[id] = true
 	}
-	for _, one := range d.Invalid {
-		delete(m.servers, one.Server)
-		m.invalid[one.Name()] = one
+	for _, entry := range d.Invalid {
+		delete(m.servers, entry.Server)
+		m.invalid[entry.Name()] = entry
 	}
-	for id, one := range d.Joined {
-		m.joined[id] = one
+	for id, registration := range d.Joined {
+		m.joined[id] = registration
 		delete(m.left, id)
 	}
 	for _, id := range d.Left {
@@ -102,17 +101,17 @@
 }
 
 func (m *merged) delta() Delta {
-	m.last.Servers = slices.Collect(maps.Values(m.servers))
-	m.last.Invalid = slices.Collect(maps.Values(m.invalid))
-	m.last.Removed = slices.Sorted(maps.Keys(m.removed))
-	m.last.Joined = m.joined
-	m.last.Left = slices.Sorted(maps.Keys(m.left))
+	m.result.Servers = slices.Collect(maps.Values(m.servers))
+	m.result.Invalid = slices.Collect(maps.Values(m.invalid))
+	m.result.Removed = slices.Sorted(maps.Keys(m.removed))
+	m.result.Joined = m.joined
+	m.result.Left = slices.Sorted(maps.Keys(m.left))
 	for dataCentre, evacuated := range m.evacuated {
 		if evacuated {
-			m.last.Evacuated = append(m.last.Evacuated, dataCentre)
+			m.result.Evacuated = append(m.result.Evacuated, dataCentre)
 		} else {
-			m.last.Returned = append(m.last.Returned, dataCentre)
+			m.result.Returned = append(m.result.Returned, dataCentre)
 		}
 	}
-	return m.last
+	return m.result
 }
--- a/coordination/mirror/history_test.go
+++ b/coordination/mirror/history_test.go
@@ -13,7 +13,7 @@
 	"goldcrestport/state/routing"
 )
 
-// known is what a router makes of changes.
+// known is the state that a router builds from changes.
 type known struct {
 	servers map[string]roster.Server
 	routers map[string]Registration
@@ -30,11 +30,11 @@
 	for _, id := range d.Removed {
 		delete(k.servers, id)
 	}
-	for _, one := range d.Invalid {
-		delete(k.servers, one.Server)
+	for _, entry := range d.Invalid {
+		delete(k.servers, entry.Server)
 	}
-	for id, one := range d.Joined {
-		k.routers[id] = one
+	for id, registration := range d.Joined {
+		k.routers[id] = registration
 	}
 	for _, id := range d.Left {
 		delete(k.routers, id)
@@ -45,9 +45,9 @@
 	return &known{servers: map[string]roster.Server{}, routers: map[string]Registration{}}
 }
 
-// What changed after any revision, as one change, leads to the same as the
-// changes one by one; what is not known any more is not told at all.
-func TestMergedChangesLeadToTheSame(t *testing.T) {
+// The merged changes after any revision lead to the same state as the changes one by one;
+// after a revision that is no longer covered nothing is returned.
+func TestMergedChangesLeadToSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 		var h history
@@ -55,18 +55,18 @@
 		all, states := newKnown(), map[uint64]*known{}
 		keep := func(revision uint64) {
 			s := newKnown()
-			for id, one := range all.servers {
-				s.servers[id] = one
+			for id, server := range all.servers {
+				s.servers[id] = server
 			}
-			for id, address := range all.routers {
-				s.routers[id] = address
+			for id, registration := range all.routers {
+				s.routers[id] = registration
 			}
 			s.version = all.version
 			states[revision] = s
 		}
 		keep(10)
 		revision := uint64(10)
-		for n := range rapid.IntRange(1, 2*keptChanges).Draw(t, "changes") {
+		for n := range rapid.IntRange(1, 2*maxChanges).Draw(t, "changes") {
 			revision += uint64(rapid.IntRange(1, 3).Draw(t, "step"))
 			d := Delta{Revision: revision, Joined: map[string]Registration{}}
 			name := names.Draw(t, "name")
@@ -89,10 +89,10 @@
 			keep(revision)
 		}
 		from := rapid.SampledFrom(slices.Sorted(maps.Keys(states))).Draw(t, "from")
-		d, told := h.after(from)
-		if !told {
+		d, ok := h.after(from)
+		if !ok {
 			if from >= h.since {
-				t.Fatalf("what changed after %d is here and was not told", from)
+				t.Fatalf("the history covers the changes after %d but did not return them", from)
 			}
 			return
 		}
@@ -106,17 +106,17 @@
 	})
 }
 
-// A history that began anew tells nothing of what was before.
-func TestARestartedHistoryTellsNothingOld(t *testing.T) {
+// A restarted history returns no changes from before the restart.
+func TestRestartedHistoryReturnsNothingOld(t *testing.T) {
 	var h history
-	_, told := h.after(5)
-	qt.Check(t, told, qt.IsFalse)
+	_, ok := h.after(5)
+	qt.Check(t, ok, qt.IsFalse)
 	h.restart(7)
-	_, told = h.after(6)
-	qt.Check(t, told, qt.IsFalse)
+	_, ok = h.after(6)
+	qt.Check(t, ok, qt.IsFalse)
 	h.add(Delta{Revision: 8, Removed: []string{"a"}})
-	d, told := h.after(7)
-	qt.Check(t, told, qt.IsTrue)
+	d, ok := h.after(7)
+	qt.Check(t, ok, qt.IsTrue)
 	qt.Check(t, d.Removed, qt.DeepEquals, []string{"a"})
 	qt.Check(t, d.Revision, qt.Equals, uint64(8))
 }
--- a/coordination/mirror/mirror.go
+++ b/coordination/mirror/mirror.go
@@ -1,8 +1,8 @@
-// Package mirror keeps what the store holds, as far as a router knows: the entries themselves,
-// without what the roster makes of them, and the newest changes, so that another router gets what
-// it lacks.
+// Package mirror keeps a router's copy of the store: the entries themselves, without what
+// the roster concludes from them, and the newest changes, so that another router can get
+// only those that it lacks.
 //
-// It is pure. Direct routers use it; platform reads the store into its types.
+// It performs no I/O. Direct routers use it; platform reads the store into its types.
 package mirror
 
 import (
@@ -14,39 +14,41 @@
 	"goldcrestport/state/routing"
 )
 
-// Mirror is what is known of the store. Its zero value knows nothing. It must be used by one
-// goroutine at a time.
+// Mirror is a copy of the store. Its zero value is empty. It must be used by one goroutine
+// at a time.
 type Mirror struct {
 	config  *routing.Config
 	servers map[string]roster.Server
-	// invalid holds the entries that cannot be used by their servers' ids.
+	// invalid are the entries that cannot be used, by their servers' ids.
 	invalid map[string]InvalidEntry
-	// evacuated are the data centres whose servers are to get nothing.
+	// evacuated are the data centres whose servers get no requests.
 	evacuated map[string]bool
 	revision  uint64
 	history   history
 }
 
-// Revision is that up to which everything is known; 0: everything is to be read.
+// Revision returns the revision up to which every change is known; 0: the store must be
+// read in full.
 func (m *Mirror) Revision() uint64 { return m.revision }
 
-// Config is the newest configuration that is known; nil for none.
+// Config returns the newest known configuration; nil for none.
 func (m *Mirror) Config() *routing.Config { return m.config }
 
 // Server returns the server's entry.
 func (m *Mirror) Server(id string) (roster.Server, bool) {
-	one, is := m.servers[id]
-	return one, is
+	server, ok := m.servers[id]
+	return server, ok
 }
 
-// Evacuated are the data centres whose servers are to get nothing. It is not changed later.
+// Evacuated returns the data centres whose servers get no requests. The map is not changed
+// later.
 func (m *Mirror) Evacuated() map[string]bool { return m.evacuated }
 
-// After returns what changed after the revision as one change. It reports false when that is
-// not known any more.
+// After returns the changes after the revision merged into one. It reports false if they
+// are no longer all known.
 func (m *Mirror) After(revision uint64) (Delta, bool) { return m.history.after(revision) }
 
-// Whole returns all entries but the configuration and the routers.
+// Whole returns all entries except the configuration and the routers.
 func (m *Mirror) Whole() Snapshot {
 	return Snapshot{
 		Servers: slices.Collect(maps.Values(m.servers)), Invalid: m.invalidEntries(),
@@ -54,18 +56,18 @@
 	}
 }
 
-// Replace takes a whole reading.
+// Replace takes a full reading of the store.
 func (m *Mirror) Replace(s Snapshot) {
 	if s.Config != nil {
 		m.config = s.Config
 	}
 	m.servers = make(map[string]roster.Server, len(s.Servers))
-	for _, one := range s.Servers {
-		m.servers[one.ID] = one
+	for _, server := range s.Servers {
+		m.servers[server.ID] = server
 	}
 	m.invalid = make(map[string]InvalidEntry, len(s.Invalid))
-	for _, one := range s.Invalid {
-		m.keepInvalid(one)
+	for _, entry := range s.Invalid {
+		m.keepInvalid(entry)
 	}
 	m.evacuated = make(map[string]bool, len(s.Evacuated))
 	for _, dataCentre := range s.Evacuated {
@@ -75,33 +77,33 @@
 	m.history.restart(s.Revision)
 }
 
-// Update takes the changes after those that are known.
+// Update applies the changes that follow the known ones.
 func (m *Mirror) Update(d Delta) {
 	m.history.add(d)
 	if d.Config != nil {
 		m.config = d.Config
 	}
-	for _, one := range d.Servers {
-		m.servers[one.ID] = one
-		delete(m.invalid, one.ID)
+	for _, server := range d.Servers {
+		m.servers[server.ID] = server
+		delete(m.invalid, server.ID)
 	}
 	for _, id := range d.Removed {
 		delete(m.servers, id)
 		delete(m.invalid, id)
 	}
-	for _, one := range d.Invalid {
-		m.keepInvalid(one)
+	for _, entry := range d.Invalid {
+		m.keepInvalid(entry)
 	}
 	m.evacuate(d)
 	m.revision = d.Revision
 }
 
-// evacuate takes the data centres that are evacuated, or are no more. Others may
-// hold the set as it was.
+// evacuate applies evacuations and their revocations to a copy of the set, because callers
+// may still use the old one.
 func (m *Mirror) evacuate(d Delta) {
-	now := make(map[string]bool, len(m.evacuated)+len(d.Evacuated))
-	maps.Copy(now, m.evacuated)
-	m.evacuated = now
+	updated := make(map[string]bool, len(m.evacuated)+len(d.Evacuated))
+	maps.Copy(updated, m.evacuated)
+	m.evacuated = updated
 	for _, dataCentre := range d.Evacuated {
 		m.evacuated[dataCentre] = true
 	}
@@ -110,21 +112,21 @@
 	}
 }
 
-// keepInvalid adds a server's entry to those that stand in the store. Others are
-// of no use to who asks this router.
-func (m *Mirror) keepInvalid(one InvalidEntry) {
-	if one.Server == "" {
+// keepInvalid adds a server's invalid entry. Entries of other kinds are of no use to the
+// routers that ask this one.
+func (m *Mirror) keepInvalid(entry InvalidEntry) {
+	if entry.Server == "" {
 		return
 	}
-	delete(m.servers, one.Server)
-	m.invalid[one.Server] = one
+	delete(m.servers, entry.Server)
+	m.invalid[entry.Server] = entry
 }
 
-// invalidEntries are those that stand in the store, by their keys.
+// invalidEntries returns the invalid entries in the store, ordered by their keys.
 func (m *Mirror) invalidEntries() []InvalidEntry {
 	out := make([]InvalidEntry, 0, len(m.invalid))
-	for _, one := range m.invalid {
-		out = append(out, one)
+	for _, entry := range m.invalid {
+		out = append(out, entry)
 	}
 	slices.SortFunc(out, func(a, b InvalidEntry) int { return strings.Compare(a.Key, b.Key) })
 	return out
