--- a/coordination/roster/announced.go
+++ b/coordination/roster/announced.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Announced takes that the incarnation said itself, in an answer to this router, that
-// it leaves. That holds whatever its entries say, now or later: they may be older, and
-// cannot change while the store is away.
+// Announced records that the incarnation announced its shutdown in an answer to this
+// router. That overrides its entries, earlier and later ones: they may be older than the
+// announcement, and cannot change while the store is unavailable.
 func (r *Roster) Announced(id string, incarnation Incarnation) []Change {
 	known, drained := r.latest(id)
 	if incarnation < known || incarnation == known && drained {
@@ -22,57 +22,57 @@
 	}
 	e.server.Draining = true
 	r.announced[id] = true
-	return e.set(false, ReasonAnnounced)
+	return e.setUsable(false, ReasonAnnounced)
 }
 
-// recall takes up what is known of a server whose entry comes back: the others may not
-// know that it leaves.
-func (r *Roster) recall(s Server) {
+// restoreFormer takes over what is known of a server whose entry comes back: if it had
+// announced its shutdown, the other routers may not know that.
+func (r *Roster) restoreFormer(s Server) {
 	if f := r.formers[s.ID]; f.announced && f.incarnation == s.Incarnation {
 		r.announced[s.ID] = true
 	}
 	delete(r.formers, s.ID)
 }
 
-// Told takes another router's word that the incarnation said so to it. It is believed
-// for a time, longer while it goes on to be said, and once: what one router got wrong must
-// not keep a sound server idle.
+// Told records that another router reported the shutdown of the incarnation. A report
+// counts for a time, longer while it is repeated, and only once: an error of one router
+// must not keep a healthy server idle.
 func (r *Roster) Told(now time.Time, id string, incarnation Incarnation) []Change {
 	e := r.entries[id]
 	if e == nil || e.server.Draining || e.server.Incarnation != incarnation {
 		return nil
 	}
-	if !e.toldUntil.IsZero() {
-		if now.Sub(e.toldLast) <= r.cfg.WordGap {
-			e.toldLast = now
+	if !e.reportedUntil.IsZero() {
+		if now.Sub(e.lastReport) <= r.cfg.ReportGap {
+			e.lastReport = now
 		}
 		return nil
 	}
-	e.told, e.toldLast = true, now
-	e.toldUntil, e.toldMost = now.Add(r.cfg.WordTime), now.Add(r.cfg.WordMost)
-	return e.set(false, ReasonTold)
+	e.reported, e.lastReport = true, now
+	e.reportedUntil, e.reportDeadline = now.Add(r.cfg.ReportTTL), now.Add(r.cfg.ReportMaxTTL)
+	return e.setUsable(false, ReasonReported)
 }
 
-// wordEnds reports whether the word of another router counts no longer.
-func (r *Roster) wordEnds(now time.Time, e *entry) bool {
-	goesOn := now.Sub(e.toldLast) <= r.cfg.WordGap && now.Before(e.toldMost)
-	return !now.Before(e.toldUntil) && !goesOn
+// reportExpired reports whether the other router's report no longer counts.
+func (r *Roster) reportExpired(now time.Time, e *entry) bool {
+	repeated := now.Sub(e.lastReport) <= r.cfg.ReportGap && now.Before(e.reportDeadline)
+	return !now.Before(e.reportedUntil) && !repeated
 }
 
-// endWords ends the time in which other routers' words count.
-func (r *Roster) endWords(now time.Time) []Change {
+// expireReports makes servers usable again whose reports have expired.
+func (r *Roster) expireReports(now time.Time) []Change {
 	var changes []Change
 	for _, e := range r.entries {
-		if e.told && r.wordEnds(now, e) {
-			e.told = false
-			changes = append(changes, e.set(r.isFree(e), ReasonUnconfirmed)...)
+		if e.reported && r.reportExpired(now, e) {
+			e.reported = false
+			changes = append(changes, e.setUsable(r.mayBeUsed(e), ReasonUnconfirmed)...)
 		}
 	}
 	return changes
 }
 
-// Leaving returns the servers that told this router that they leave and have an entry
-// yet, by their ids: what it tells the others.
+// Leaving returns the servers that announced their shutdown to this router and still have
+// an entry, by their ids. This router reports them to the others.
 func (r *Roster) Leaving() []Server {
 	var out []Server
 	for id := range r.announced {
@@ -82,12 +82,12 @@
 	return out
 }
 
-// Drained returns the number of servers that have an entry and get nothing because
-// they leave, by the store, their own answers or another router.
+// Drained returns the number of servers that have an entry and get no requests because they
+// are shutting down, according to the store, their own answers or another router.
 func (r *Roster) Drained() int {
 	n := 0
 	for _, e := range r.entries {
-		if e.server.Draining || e.told {
+		if e.server.Draining || e.reported {
 			n++
 		}
 	}
--- a/coordination/roster/change.go
+++ b/coordination/roster/change.go
@@ -1,6 +1,6 @@
 package roster
 
-// Change tells that a server may get work from now on, or no more.
+// Change reports that a server may get requests from now on, or no more.
 type Change struct {
 	Server Server
 	Usable bool
@@ -14,18 +14,18 @@
 	ReasonDraining = "draining"
 	ReasonRemoved  = "removed"
 	ReasonLapsed   = "lapsed"
-	// ReasonRestarted: a later incarnation has the id.
+	// ReasonRestarted: the id belongs to a later incarnation.
 	ReasonRestarted = "restarted"
-	// ReasonInvalid: what stands under the id now cannot be an entry of it.
+	// ReasonInvalid: the entry under the id is not valid.
 	ReasonInvalid = "invalid_entry"
-	// ReasonEvacuated and ReasonReturned: the operators evacuated its data
-	// centre, or took that back.
+	// ReasonEvacuated and ReasonReturned: the operators evacuated the server's data centre,
+	// or revoked that.
 	ReasonEvacuated = "evacuated"
 	ReasonReturned  = "returned"
-	// ReasonAnnounced: it said in an answer to this router that it leaves;
-	// ReasonTold: another router heard that, and ReasonUnconfirmed: nothing else
-	// came of such a word.
+	// ReasonAnnounced: the server announced its shutdown in an answer to this router;
+	// ReasonReported: another router reported such an announcement; ReasonUnconfirmed:
+	// nothing confirmed that report in time.
 	ReasonAnnounced   = "announced"
-	ReasonTold        = "told"
+	ReasonReported    = "told"
 	ReasonUnconfirmed = "unconfirmed"
 )
--- a/coordination/roster/evacuation_test.go
+++ b/coordination/roster/evacuation_test.go
@@ -13,15 +13,15 @@
 
 func evacuated(dataCentres ...string) map[string]bool {
 	all := map[string]bool{}
-	for _, one := range dataCentres {
-		all[one] = true
+	for _, name := range dataCentres {
+		all[name] = true
 	}
 	return all
 }
 
-// A data centre is evacuated beside another one, servers join, drain and start
-// again meanwhile, and the evacuations are taken back one after the other.
-func TestAnEvacuatedDataCentresServersGetNothing(t *testing.T) {
+// One data centre is evacuated, then a second one; servers join, drain and restart
+// meanwhile; and the evacuations are revoked one after the other.
+func TestServersOfEvacuatedDataCentreGetNothing(t *testing.T) {
 	r := New(DefaultConfig())
 	now := time.Unix(1000, 0)
 	set := replay(map[string]bool{}, r.Replace(now, []Server{at("east", "e1"), at("east", "e2"), at("west", "w1")}))
@@ -31,9 +31,9 @@
 	draining := at("east", "e1")
 	draining.Draining = true
 	replay(set, r.Put(draining))
-	again := at("east", "e2")
-	again.Incarnation = 7
-	replay(set, r.Put(again))
+	restarted := at("east", "e2")
+	restarted.Incarnation = 7
+	replay(set, r.Put(restarted))
 	qt.Check(t, set, qt.DeepEquals, evacuated("w1"))
 	replay(set, r.Evacuate(evacuated("east", "west")))
 	qt.Check(t, set, qt.DeepEquals, evacuated())
@@ -43,9 +43,9 @@
 	qt.Check(t, set, qt.DeepEquals, evacuated("e2", "e3", "w1"))
 }
 
-// The evacuation holds while the store is away, and for servers whose entries
-// lapse meanwhile and come back.
-func TestAnEvacuationOutlastsAnOutageOfTheStore(t *testing.T) {
+// An evacuation stays in force while the store is unavailable, also for servers whose
+// entries lapse meanwhile and come back.
+func TestEvacuationSurvivesStoreOutage(t *testing.T) {
 	r := New(DefaultConfig())
 	now := time.Unix(1000, 0)
 	set := replay(map[string]bool{}, r.Replace(now, []Server{at("east", "e1"), at("west", "w1")}))
--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -1,8 +1,8 @@
-// Package roster decides which backend servers may get new work, from entries
-// in the platform's store that come late, lapse and come back, and from what the
-// servers say themselves in their answers.
+// Package roster decides which backend servers may get new requests. It uses their entries
+// in the platform's store, which arrive late, lapse and come back, and what the servers say
+// in their answers.
 //
-// A Roster is pure: it takes what the store said and the time.
+// A Roster performs no I/O: it takes the contents of the store and the time as arguments.
 //
 // Direct routers use it.
 package roster
@@ -11,76 +11,75 @@
 
 // Config holds the times of a Roster.
 type Config struct {
-	// ReturnGrace is the time after the store's return in which entries that
-	// lapsed while it was away may still come back. The platform promises
-	// about two seconds. Default 2s.
+	// ReturnGrace is the time after the store's return in which entries that lapsed during
+	// the outage may still come back. The platform promises about two seconds. Default 2s.
 	ReturnGrace time.Duration
-	// FormerTime is how long the last incarnation of a server that is gone is
-	// remembered, so that a write of it that comes late does not bring it back.
-	// Default 1m: late writes take seconds.
-	FormerTime time.Duration
-	// WordTime is for how long a server gets nothing because another router said
-	// that it leaves; whether it does is heard from itself then. Default 30s:
-	// most servers that leave are gone by then.
-	WordTime time.Duration
-	// WordGap is the longest time between two words of one that goes on to be said: such a
-	// word holds on after WordTime, up to WordMost. Default 5s: routers of the largest
-	// fleets tell each other each 4 s.
-	WordGap time.Duration
-	// WordMost bounds a word that goes on to be said, as it may be wrong. Default 2m.
-	WordMost time.Duration
+	// FormerTTL is how long the last incarnation of a removed server is remembered, so that
+	// a late write of it does not bring it back. Default 1m: late writes take seconds.
+	FormerTTL time.Duration
+	// ReportTTL is for how long a server gets no requests because another router reported
+	// its shutdown; by then the server itself should have confirmed it. Default 30s: most
+	// servers that shut down are gone by then.
+	ReportTTL time.Duration
+	// ReportGap is the longest time between two reports of a repeated one: a repeated report
+	// counts beyond ReportTTL, up to ReportMaxTTL. Default 5s: routers of the largest fleets
+	// send their digests every 4 s.
+	ReportGap time.Duration
+	// ReportMaxTTL bounds a repeated report, which may be wrong. Default 2m.
+	ReportMaxTTL time.Duration
 }
 
 // DefaultConfig returns the documented defaults.
 func DefaultConfig() Config {
-	return Config{ReturnGrace: 2 * time.Second, FormerTime: time.Minute, WordTime: 30 * time.Second, WordGap: 5 * time.Second, WordMost: 2 * time.Minute}
+	return Config{ReturnGrace: 2 * time.Second, FormerTTL: time.Minute, ReportTTL: 30 * time.Second, ReportGap: 5 * time.Second, ReportMaxTTL: 2 * time.Minute}
 }
 
-// entry is a server with what is known of its absence.
+// entry is a server with the state of its entry in the store and of other routers' reports.
 type entry struct {
 	server Server
-	// missing tells that the store has no entry any more; the server is kept
-	// until the grace after the store's return is over.
+	// missing is true if the store no longer has the entry; the server is kept until the
+	// grace after the store's return is over.
 	missing bool
-	// outlasted tells that the store had the entry after its last outage: what is gone
-	// then did not lapse in that.
-	outlasted bool
-	// usable tells that it may get work.
+	// seenSinceOutage is true if the store had the entry after its last outage: if the entry
+	// disappears later, it did not lapse in that outage.
+	seenSinceOutage bool
+	// usable is true if the server may get requests.
 	usable bool
-	// toldUntil is until when it gets nothing on another router's word that it
-	// leaves; zero without one. Such a word counts once.
-	toldUntil time.Time
-	// toldMost is until when it may hold on, toldLast when it was said last without a gap.
-	toldMost, toldLast time.Time
-	// told tells that it gets nothing for that now.
-	told bool
+	// reportedUntil is until when the server gets no requests because another router
+	// reported its shutdown; zero without a report. A report counts once.
+	reportedUntil time.Time
+	// reportDeadline is until when a repeated report may count, lastReport when it was last
+	// repeated without a gap.
+	reportDeadline, lastReport time.Time
+	// reported is true if the server gets no requests for that reason now.
+	reported bool
 }
 
-// former is the last incarnation of a server that is gone.
+// former is the last incarnation of a removed server.
 type former struct {
 	incarnation Incarnation
 	drained     bool
-	// announced tells that it said itself that it leaves.
+	// announced is true if the server itself announced its shutdown.
 	announced bool
-	// until is when it is forgotten; zero before the next Tick.
+	// until is when the record is dropped; zero before the next Tick.
 	until time.Time
 }
 
-// Roster holds the known servers. It must be used by one goroutine at a time.
-// Invariants: an incarnation that said that it drains never becomes usable again,
-// none becomes usable after a later one of its id, and none is usable while its
-// data centre is evacuated.
+// Roster holds the known servers. It must be used by one goroutine at a time. Invariants:
+// an incarnation that announced that it drains never becomes usable again, none becomes
+// usable after a later one of its id, and none is usable while its data centre is
+// evacuated.
 type Roster struct {
 	cfg     Config
 	entries map[string]*entry
 	formers map[string]former
-	// announced are the ids of the entries whose servers said themselves that they
-	// leave, in an answer to this router.
+	// announced are the ids of the entries whose servers announced their shutdown in an
+	// answer to this router.
 	announced map[string]bool
-	// evacuated are the data centres whose servers get nothing.
+	// evacuated are the data centres whose servers get no requests.
 	evacuated map[string]bool
-	away      bool
-	// graceEnd is when missing entries count as gone.
+	storeLost bool
+	// graceEnd is when missing entries count as removed.
 	graceEnd time.Time
 }
 
@@ -89,36 +88,35 @@
 	return &Roster{cfg: cfg, entries: make(map[string]*entry), formers: make(map[string]former), announced: make(map[string]bool)}
 }
 
-// StoreLost notes that the store does not answer.
+// StoreLost records that the store does not answer.
 func (r *Roster) StoreLost() {
-	r.away = true
+	r.storeLost = true
 	for _, e := range r.entries {
-		e.outlasted = false
+		e.seenSinceOutage = false
 	}
 }
 
-// StoreBack notes that the store answers again.
+// StoreBack records that the store answers again.
 func (r *Roster) StoreBack(now time.Time) {
-	if !r.away {
+	if !r.storeLost {
 		return
 	}
-	r.away = false
+	r.storeLost = false
 	r.graceEnd = now.Add(r.cfg.ReturnGrace)
 }
 
-// StoreSound notes that the store answered others all the while: what is
-// missing now has left, and did not lapse.
-func (r *Roster) StoreSound() { r.away, r.graceEnd = false, time.Time{} }
+// StoreSound records that the store answered other routers throughout: an entry that is
+// missing now was removed, and did not lapse.
+func (r *Roster) StoreSound() { r.storeLost, r.graceEnd = false, time.Time{} }
 
-// Away reports whether the store answers nobody, as far as is known.
-func (r *Roster) Away() bool { return r.away }
+// Away reports whether the store answers no router, as far as is known.
+func (r *Roster) Away() bool { return r.storeLost }
 
-// Settling reports whether entries may be missing only because the store was
-// away.
-func (r *Roster) Settling(now time.Time) bool { return r.away || now.Before(r.graceEnd) }
+// Settling reports whether entries may be missing only because of an outage of the store.
+func (r *Roster) Settling(now time.Time) bool { return r.storeLost || now.Before(r.graceEnd) }
 
-// Put takes a server's entry as it was written. One of an incarnation before the
-// known one came late and changes nothing.
+// Put takes a server's entry as it was written. An entry of an incarnation before the known
+// one was delivered late and changes nothing.
 func (r *Roster) Put(s Server) []Change {
 	known, drained := r.latest(s.ID)
 	if s.Incarnation == 0 {
@@ -131,11 +129,10 @@
 	if s.Incarnation > known {
 		changes, drained = r.drop(s.ID, ReasonRestarted), false
 	}
-	return append(changes, r.put(s, drained)...)
+	return append(changes, r.putLatest(s, drained)...)
 }
 
-// latest returns the last known incarnation under the id, and whether it said
-// that it drains.
+// latest returns the last known incarnation under the id, and whether it drained.
 func (r *Roster) latest(id string) (Incarnation, bool) {
 	if e := r.entries[id]; e != nil {
 		return e.server.Incarnation, e.server.Draining
@@ -144,29 +141,29 @@
 	return f.incarnation, f.drained
 }
 
-// put takes the entry of the last incarnation, which may have drained before.
-func (r *Roster) put(s Server, drained bool) []Change {
+// putLatest takes the entry of the last incarnation, which may have drained before.
+func (r *Roster) putLatest(s Server, drained bool) []Change {
 	e := r.entries[s.ID]
 	if e == nil {
 		e = &entry{}
 		r.entries[s.ID] = e
-		r.recall(s)
+		r.restoreFormer(s)
 	}
 	s.Draining = s.Draining || drained
-	e.missing, e.outlasted, e.server = false, !r.away, s
+	e.missing, e.seenSinceOutage, e.server = false, !r.storeLost, s
 	if s.Draining {
-		return e.set(false, ReasonDraining)
+		return e.setUsable(false, ReasonDraining)
 	}
-	return e.set(r.isFree(e), ReasonJoined)
+	return e.setUsable(r.mayBeUsed(e), ReasonJoined)
 }
 
-// isFree reports whether nothing keeps the server from getting work.
-func (r *Roster) isFree(e *entry) bool {
-	return !e.server.Draining && !e.told && !r.evacuated[e.server.DataCentre]
+// mayBeUsed reports whether nothing keeps the server from getting requests.
+func (r *Roster) mayBeUsed(e *entry) bool {
+	return !e.server.Draining && !e.reported && !r.evacuated[e.server.DataCentre]
 }
 
-// set makes the server usable or not, and returns the change if it is one.
-func (e *entry) set(usable bool, reason string) []Change {
+// setUsable sets whether the server is usable, and returns the change if there is one.
+func (e *entry) setUsable(usable bool, reason string) []Change {
 	if e.usable == usable {
 		return nil
 	}
@@ -174,8 +171,8 @@
 	return []Change{{Server: e.server, Usable: usable, Reason: reason}}
 }
 
-// Evacuate takes the data centres whose servers may get nothing from now on; those
-// that are not named any more are taken back.
+// Evacuate sets the data centres whose servers get no requests from now on; the evacuation
+// of those that are no longer named is revoked.
 func (r *Roster) Evacuate(dataCentres map[string]bool) []Change {
 	r.evacuated = dataCentres
 	var changes []Change
@@ -183,33 +180,33 @@
 		switch {
 		case e.server.Draining:
 		case dataCentres[e.server.DataCentre]:
-			changes = append(changes, e.set(false, ReasonEvacuated)...)
+			changes = append(changes, e.setUsable(false, ReasonEvacuated)...)
 		default:
-			changes = append(changes, e.set(r.isFree(e), ReasonReturned)...)
+			changes = append(changes, e.setUsable(r.mayBeUsed(e), ReasonReturned)...)
 		}
 	}
 	return changes
 }
 
-// Remove takes the removal of a server's entry. While the store is away, and
-// shortly after, the entry may only have lapsed.
+// Remove takes the removal of a server's entry. During an outage of the store, and shortly
+// after, the entry may only have lapsed.
 func (r *Roster) Remove(now time.Time, id string) []Change {
 	e := r.entries[id]
 	if e == nil {
 		return nil
 	}
-	if !e.server.Draining && !e.outlasted && r.Settling(now) {
+	if !e.server.Draining && !e.seenSinceOutage && r.Settling(now) {
 		e.missing = true
 		return nil
 	}
 	return r.drop(id, ReasonRemoved)
 }
 
-// Invalidate notes that what stands under the id cannot be used: unlike an entry
-// that is missing it did not lapse.
+// Invalidate records that the entry under the id cannot be used: unlike a missing entry, it
+// did not lapse.
 func (r *Roster) Invalidate(id string) []Change { return r.drop(id, ReasonInvalid) }
 
-// Replace takes a whole listing of the entries.
+// Replace takes a full listing of the entries.
 func (r *Roster) Replace(now time.Time, all []Server) []Change {
 	var changes []Change
 	listed := make(map[string]bool, len(all))
@@ -227,8 +224,8 @@
 
 // Tick drops the servers that did not come back in time.
 func (r *Roster) Tick(now time.Time) []Change {
-	r.forget(now)
-	changes := r.endWords(now)
+	r.expireFormers(now)
+	changes := r.expireReports(now)
 	if r.Settling(now) {
 		return changes
 	}
@@ -257,12 +254,12 @@
 	return e != nil && !e.server.Draining
 }
 
-// forget drops the incarnations that are gone for long.
-func (r *Roster) forget(now time.Time) {
+// expireFormers drops the incarnations that were removed long ago.
+func (r *Roster) expireFormers(now time.Time) {
 	for id, f := range r.formers {
 		switch {
 		case f.until.IsZero():
-			f.until = now.Add(r.cfg.FormerTime)
+			f.until = now.Add(r.cfg.FormerTTL)
 			r.formers[id] = f
 		case !now.Before(f.until):
 			delete(r.formers, id)
@@ -270,7 +267,7 @@
 	}
 }
 
-// drop forgets the server's entry but not that its incarnation was here.
+// drop removes the server but remembers its incarnation.
 func (r *Roster) drop(id, reason string) []Change {
 	e := r.entries[id]
 	if e == nil {
@@ -281,5 +278,5 @@
 	}
 	delete(r.entries, id)
 	delete(r.announced, id)
-	return e.set(false, reason)
+	return e.setUsable(false, reason)
 }
--- a/coordination/roster/roster_test.go
+++ b/coordination/roster/roster_test.go
@@ -12,28 +12,28 @@
 
 func after(d time.Duration) time.Time { return start.Add(d) }
 
-func one(changes []Change) string {
+func reasonOf(changes []Change) string {
 	if len(changes) != 1 {
 		return ""
 	}
 	return changes[0].Reason
 }
 
-func TestDrainingAndRemovedServersLeaveAtOnce(t *testing.T) {
+func TestDrainingAndRemovedServersAreUnusableAtOnce(t *testing.T) {
 	r := New(DefaultConfig())
-	qt.Check(t, one(r.Put(Server{ID: "a"})), qt.Equals, ReasonJoined)
-	qt.Check(t, one(r.Put(Server{ID: "b"})), qt.Equals, ReasonJoined)
-	qt.Check(t, one(r.Put(Server{ID: "a", Draining: true})), qt.Equals, ReasonDraining)
+	qt.Check(t, reasonOf(r.Put(Server{ID: "a"})), qt.Equals, ReasonJoined)
+	qt.Check(t, reasonOf(r.Put(Server{ID: "b"})), qt.Equals, ReasonJoined)
+	qt.Check(t, reasonOf(r.Put(Server{ID: "a", Draining: true})), qt.Equals, ReasonDraining)
 	qt.Check(t, r.Has("a"), qt.IsFalse)
-	qt.Check(t, one(r.Remove(start, "b")), qt.Equals, ReasonRemoved)
+	qt.Check(t, reasonOf(r.Remove(start, "b")), qt.Equals, ReasonRemoved)
 	qt.Check(t, r.Has("b"), qt.IsFalse)
-	// A late word that it is ready does not bring a draining server back.
+	// A late entry without the draining flag does not bring a draining server back.
 	qt.Check(t, r.Put(Server{ID: "a"}), qt.HasLen, 0)
 	qt.Check(t, r.Has("a"), qt.IsFalse)
 	qt.Check(t, r.Remove(start, "a"), qt.HasLen, 0)
 }
 
-func TestEntriesThatLapseInAnOutageAreKept(t *testing.T) {
+func TestEntriesThatLapseInOutageAreKept(t *testing.T) {
 	r := New(DefaultConfig())
 	r.Put(Server{ID: "a"})
 	r.Put(Server{ID: "b"})
@@ -43,22 +43,22 @@
 	qt.Check(t, r.Replace(after(time.Minute), nil), qt.HasLen, 0)
 	qt.Check(t, r.Has("a"), qt.IsTrue)
 	qt.Check(t, r.Put(Server{ID: "a"}), qt.HasLen, 0)
-	// What is not back two seconds after the store's return is gone.
+	// An entry that is not back two seconds after the store's return is removed.
 	qt.Check(t, r.Tick(after(time.Minute+1999*time.Millisecond)), qt.HasLen, 0)
-	qt.Check(t, one(r.Tick(after(time.Minute+2*time.Second))), qt.Equals, ReasonLapsed)
+	qt.Check(t, reasonOf(r.Tick(after(time.Minute+2*time.Second))), qt.Equals, ReasonLapsed)
 	qt.Check(t, r.Has("a"), qt.IsTrue)
 	qt.Check(t, r.Has("b"), qt.IsFalse)
 }
 
-func TestADrainingServerIsGoneAlsoInAnOutage(t *testing.T) {
+func TestDrainingServerIsUnusableDuringOutage(t *testing.T) {
 	r := New(DefaultConfig())
 	r.Put(Server{ID: "a"})
 	r.StoreLost()
 	r.StoreBack(start)
-	qt.Check(t, one(r.Put(Server{ID: "a", Draining: true})), qt.Equals, ReasonDraining)
+	qt.Check(t, reasonOf(r.Put(Server{ID: "a", Draining: true})), qt.Equals, ReasonDraining)
 }
 
-func TestAListingFindsWhatLeftUnseen(t *testing.T) {
+func TestListingFindsMissedRemovals(t *testing.T) {
 	r := New(DefaultConfig())
 	r.Put(Server{ID: "a"})
 	changes := r.Replace(start, []Server{{ID: "b"}})
@@ -67,16 +67,17 @@
 	qt.Check(t, r.Has("b"), qt.IsTrue)
 }
 
-// A router that alone was cut off learns from others what left meanwhile: that
-// is gone at once, as the store was there for the servers all the while.
-func TestWhatLeftWhileOnlyThisRouterWasCutOffIsGone(t *testing.T) {
+// A router that alone was cut off from the store learns from others which entries were
+// removed meanwhile: those servers are dropped at once, because the store was available to
+// the servers throughout.
+func TestServerRemovedWhileOnlyThisRouterWasCutOffIsDropped(t *testing.T) {
 	r := New(DefaultConfig())
 	r.Put(Server{ID: "a"})
 	r.StoreLost()
 	qt.Check(t, r.Settling(start), qt.IsTrue)
 	r.StoreSound()
 	qt.Check(t, r.Settling(start), qt.IsFalse)
-	qt.Check(t, one(r.Replace(start, nil)), qt.Equals, ReasonRemoved)
+	qt.Check(t, reasonOf(r.Replace(start, nil)), qt.Equals, ReasonRemoved)
 }
 
 // entryOf is the entry of an incarnation of the server "a".
@@ -84,9 +85,9 @@
 	return Server{ID: "a", Incarnation: incarnation, Draining: draining}
 }
 
-// A server that starts again under its id is a new one, in whatever order the
-// words of both incarnations come.
-func TestARestartedServerIsANewOne(t *testing.T) {
+// A server that restarts under its id is a new one, in whatever order the entries of both
+// incarnations arrive.
+func TestRestartedServerIsNewOne(t *testing.T) {
 	const before, after Incarnation = 100, 200
 	for name, tc := range map[string]struct {
 		steps  func(r *Roster)
@@ -106,13 +107,13 @@
 			r.Remove(start, "a")
 			r.Put(entryOf(after, false))
 		}, after},
-		"a late word of the earlier one changes nothing": {func(r *Roster) {
+		"a late entry of the earlier one changes nothing": {func(r *Roster) {
 			r.Put(entryOf(before, false))
 			r.Put(entryOf(after, false))
 			r.Put(entryOf(before, true))
 			r.Replace(start, []Server{entryOf(before, true)})
 		}, after},
-		"nor does it bring a server back that is gone": {func(r *Roster) {
+		"a late entry does not bring a removed server back": {func(r *Roster) {
 			r.Put(entryOf(after, false))
 			r.Remove(start, "a")
 			r.Put(entryOf(before, false))
@@ -122,22 +123,22 @@
 			r.Remove(start, "a")
 			r.Put(entryOf(after, false))
 		}, 0},
-		"one that was silent for a while does": {func(r *Roster) {
+		"an incarnation that was removed without draining comes back": {func(r *Roster) {
 			r.Put(entryOf(after, false))
 			r.Remove(start, "a")
 			r.Put(entryOf(after, false))
 		}, after},
-		"one that comes back in an outage is new as well": {func(r *Roster) {
+		"one that restarts in an outage is new as well": {func(r *Roster) {
 			r.Put(entryOf(before, false))
 			r.StoreLost()
 			r.Remove(start, "a")
 			r.Put(entryOf(after, false))
 		}, after},
-		"a word without incarnation is of the last one": {func(r *Roster) {
+		"an entry without incarnation is of the last one": {func(r *Roster) {
 			r.Put(entryOf(after, false))
 			r.Put(entryOf(0, true))
 		}, 0},
-		"a server without incarnation gets one": {func(r *Roster) {
+		"a server without incarnation reports one later": {func(r *Roster) {
 			r.Put(entryOf(0, true))
 			r.Put(entryOf(after, false))
 		}, after},
@@ -154,9 +155,9 @@
 	}
 }
 
-// The earlier incarnation leaves before the later one joins, so that all that is
-// known of it goes first.
-func TestTheEarlierIncarnationLeavesFirst(t *testing.T) {
+// The earlier incarnation is removed before the later one joins, so that its state is
+// cleared first.
+func TestEarlierIncarnationIsRemovedFirst(t *testing.T) {
 	r := New(DefaultConfig())
 	r.Put(entryOf(100, false))
 	changes := r.Put(entryOf(200, false))
@@ -165,19 +166,19 @@
 	qt.Check(t, changes[1], qt.DeepEquals, Change{Server: entryOf(200, false), Usable: true, Reason: ReasonJoined})
 }
 
-// What cannot be an entry of its server is not taken for one that lapsed, and the
-// server is back with its next sound entry.
-func TestAnInvalidEntryEndsTheUseAtOnce(t *testing.T) {
+// An invalid entry is not treated as one that lapsed, and the server is back with its next
+// valid entry.
+func TestInvalidEntryRemovesServerAtOnce(t *testing.T) {
 	r := New(DefaultConfig())
 	r.Put(entryOf(100, false))
 	r.StoreLost()
-	qt.Check(t, one(r.Invalidate("a")), qt.Equals, ReasonInvalid)
+	qt.Check(t, reasonOf(r.Invalidate("a")), qt.Equals, ReasonInvalid)
 	qt.Check(t, r.Has("a"), qt.IsFalse)
 	qt.Check(t, r.Invalidate("a"), qt.HasLen, 0)
-	qt.Check(t, one(r.Put(entryOf(100, false))), qt.Equals, ReasonJoined)
+	qt.Check(t, reasonOf(r.Put(entryOf(100, false))), qt.Equals, ReasonJoined)
 }
 
-// What is gone is not remembered for ever.
+// Former incarnations are forgotten after FormerTTL.
 func TestFormerIncarnationsAreForgotten(t *testing.T) {
 	r := New(DefaultConfig())
 	r.Put(entryOf(100, false))
@@ -189,14 +190,14 @@
 	qt.Check(t, r.formers, qt.HasLen, 0)
 }
 
-// However words of several incarnations, of the servers themselves and of other
-// routers, removals and outages mix: what changes tell is what Has says, but for a
-// server that others say leaves, incarnations never go back, and none that drained or
-// said that it leaves is usable again.
+// For any mix of entries and announcements of several incarnations, reports of other
+// routers, removals and outages: the changes agree with Has, except for a server whose
+// shutdown others reported; incarnations never go back; and none that drained or announced
+// its shutdown is usable again.
 func TestIncarnationsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
-		cfg.FormerTime = time.Hour
+		cfg.FormerTTL = time.Hour
 		r, now := New(cfg), start
 		var usable, latest Incarnation
 		drained := map[Incarnation]bool{}
@@ -220,13 +221,13 @@
 			case 5:
 				r.StoreLost()
 			case 6:
-				said := Incarnation(rapid.IntRange(1, 4).Draw(t, "said"))
-				if said >= latest {
-					drained[said], latest = true, said
+				announced := Incarnation(rapid.IntRange(1, 4).Draw(t, "announced"))
+				if announced >= latest {
+					drained[announced], latest = true, announced
 				}
-				changes = r.Announced("a", said)
+				changes = r.Announced("a", announced)
 			case 7:
-				changes = r.Told(now, "a", Incarnation(rapid.IntRange(1, 4).Draw(t, "told")))
+				changes = r.Told(now, "a", Incarnation(rapid.IntRange(1, 4).Draw(t, "reported")))
 			default:
 				r.StoreBack(now)
 			}
@@ -240,9 +241,9 @@
 				}
 				usable = c.Server.Incarnation
 			}
-			told := r.entries["a"] != nil && r.entries["a"].told
-			if !told && r.Has("a") != (usable != 0) {
-				t.Fatalf("has %v, told %d", r.Has("a"), usable)
+			reported := r.entries["a"] != nil && r.entries["a"].reported
+			if !reported && r.Has("a") != (usable != 0) {
+				t.Fatalf("Has returned %v, but the usable incarnation is %d", r.Has("a"), usable)
 			}
 		}
 	})
