--- a/coordination/intake/designs_test.go
+++ b/coordination/intake/designs_test.go
@@ -8,14 +8,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// outcomeOf is what the floods of a run came to: the least of what a team got in relation
-// to the lesser of what it asked and what the best one got, the part of tries that failed,
-// and the part of the servers' tokens that were used.
-type outcomeOf struct {
+// outcome is the result of the floods of a run: the least that a team got in relation to
+// the lesser of what it asked for and what the best-served team got, the fraction of tries
+// that failed, and the fraction of the servers' tokens that was used.
+type outcome struct {
 	least, failed, served float64
 }
 
-// floods are two teams' at once, one from one data centre and one caller, one from all.
+// floods are those of two teams at once, one from a single caller in one data centre, one
+// from callers in all of them, beside the usual load of other teams.
 func floods(centres int, perSec float64) []modelFlow {
 	all := make([]int, centres)
 	for i := range all {
@@ -31,10 +32,11 @@
 	return flows
 }
 
-// leastAsked is the number of requests a second from which a team asks throughout.
-const leastAsked = 5
+// minAskedRate is the number of requests a second from which a team counts as asking
+// throughout.
+const minAskedRate = 5
 
-func measure(d design, seed uint64, routers, centres int) outcomeOf {
+func measure(d design, seed uint64, routers, centres int) outcome {
 	perSec := 60_000 * float64(routers)
 	f := newModelFleet(d, seed, routers, centres, perSec)
 	flows := floods(centres, perSec)
@@ -51,10 +53,10 @@
 			best = max(best, got)
 		}
 		for team, asked := range f.asked {
-			if asked < 6*leastAsked*modelTokens {
+			if asked < 6*minAskedRate*modelTokens {
 				continue
 			}
-			// Three requests more or less are chance.
+			// A difference of three requests is within chance.
 			if owed := min(asked, best) - 3*modelTokens; owed > 0 {
 				least = min(least, f.got[team]/owed)
 			}
@@ -63,26 +65,26 @@
 			served += got / (12 * perSec)
 		}
 	}
-	return outcomeOf{least: least, failed: float64(failed) / float64(tries), served: served}
+	return outcome{least: least, failed: float64(failed) / float64(tries), served: served}
 }
 
 var designs = []design{
-	{name: "as it was"},
-	{name: "counts", counts: true},
-	{name: "deals", deals: true},
-	{name: "deals, counts", deals: true, counts: true},
-	{name: "throttles", counts: true, throttles: true},
-	{name: "deals, counts, throttles", deals: true, counts: true, throttles: true},
-	{name: "hands", counts: true, hands: true},
-	{name: "deals, counts, hands", deals: true, counts: true, hands: true},
-	{name: "deals, counts, hands, throttles", deals: true, counts: true, hands: true, throttles: true},
+	{name: "close all when late"},
+	{name: "counts all", countsAll: true},
+	{name: "limits", limits: true},
+	{name: "limits, counts all", limits: true, countsAll: true},
+	{name: "throttles", countsAll: true, throttles: true},
+	{name: "limits, counts all, throttles", limits: true, countsAll: true, throttles: true},
+	{name: "hands over", countsAll: true, handsOver: true},
+	{name: "limits, counts all, hands over", limits: true, countsAll: true, handsOver: true},
+	{name: "limits, counts all, hands over, throttles", limits: true, countsAll: true, handsOver: true, throttles: true},
 }
 
-// landed is what routers do.
-var landed = design{name: "deals, counts, throttles", deals: true, counts: true, throttles: true}
+// implemented is the design that routers use.
+var implemented = design{name: "limits, counts all, throttles", limits: true, countsAll: true, throttles: true}
 
-// worst returns the least over some seeds, and the means.
-func worst(d design, seeds uint64, routers, centres int) (least float64, mean outcomeOf) {
+// worst returns the lowest result over some seeds, and the means.
+func worst(d design, seeds uint64, routers, centres int) (least float64, mean outcome) {
 	least = 10
 	for seed := range seeds {
 		o := measure(d, seed, routers, centres)
@@ -94,31 +96,32 @@
 	return least, mean
 }
 
-// aim is what the least served team is to get of the lesser of what it asked and what the
-// best one got.
-const aim = 0.7
+// target is what the least-served team is to get, as a fraction of the lesser of what it
+// asked for and what the best-served team got.
+const target = 0.7
 
 // sizes are fleets of few and many routers.
 var sizes = []struct{ routers, centres int }{{3, 3}, {30, 3}, {103, 5}, {300, 5}}
 
-// Guards against a team that gets far less than others, as its callers come to few
-// routers: in each six seconds of two floods the least served gets its part.
+// Guards against a team that gets far less than others because its callers reach few
+// routers: in each six seconds of two floods the least-served team gets its part.
 func TestTheLeastServedTeamGetsItsPart(t *testing.T) {
 	for _, size := range sizes {
-		least, mean := worst(landed, 3, size.routers, size.centres)
-		qt.Check(t, least >= aim, qt.IsTrue, qt.Commentf("%d routers: least %.2f, on average %.2f", size.routers, least, mean.least))
+		least, mean := worst(implemented, 3, size.routers, size.centres)
+		qt.Check(t, least >= target, qt.IsTrue, qt.Commentf("%d routers: least %.2f, on average %.2f", size.routers, least, mean.least))
 	}
 }
 
-// Guards against dealing out less than what closing everything while late leaves.
-func TestDealingOutServesTheLeastServedMore(t *testing.T) {
+// Guards against a design that serves the least-served team less than closing all
+// connections while late does.
+func TestLimitingServesLeastServedTeamMore(t *testing.T) {
 	_, before := worst(design{}, 3, 30, 3)
-	_, after := worst(landed, 3, 30, 3)
+	_, after := worst(implemented, 3, 30, 3)
 	qt.Check(t, after.least > before.least, qt.IsTrue, qt.Commentf("%.2f after %.2f", after.least, before.least))
 }
 
-// BenchmarkDesigns compares what the designs leave the least served team, and what they
-// cost in failed tries and tokens of the servers.
+// BenchmarkDesigns compares what the least-served team gets under the designs, and their
+// cost in failed tries and unused tokens of the servers.
 func BenchmarkDesigns(b *testing.B) {
 	for _, size := range sizes {
 		for _, d := range designs {
--- a/coordination/intake/fleet_test.go
+++ b/coordination/intake/fleet_test.go
@@ -12,51 +12,54 @@
 	"goldcrestport/coordination/throttle"
 )
 
-// The model of a fleet in virtual time: a balancer that takes a data centre's routers for
-// a caller in one order, routers of two sizes whose processors are used up for a part of
-// each tenth of a second, callers who try once more at the next router, servers that do
-// so many tokens a second, and floods of several teams.
+// This file models a fleet in virtual time: a balancer that tries a data centre's routers
+// in one order for each caller, routers of two sizes whose processor quota is a part of
+// each tenth of a second, callers that retry once at the next router, servers that process
+// a number of tokens a second, and floods of several teams.
 
-// Figures of the model. Costs are processor time of a whole core.
+// Constants of the model. Costs are processor time of a whole core.
 const (
-	modelWindow  = 4 * time.Second
-	modelStep    = 5 * time.Millisecond
-	modelQuota   = 100 * time.Millisecond
-	largeShare   = 0.8
-	smallShare   = 0.144
-	costClose    = 15 * time.Microsecond
-	costRead     = 120 * time.Microsecond
-	costStream   = 1200 * time.Microsecond // for each second of a stream
-	costRelay    = 500 * time.Microsecond  // the same where it is only passed on
-	streamTime   = time.Second
-	modelTokens  = 3000.0 // of a request
-	modelBacklog = 1024   // connections that wait in the kernel
-	callerWaits  = 3 * time.Second
-	readyEvery   = time.Second
-	toldAfter    = 100 * time.Millisecond
-	deafFrom     = 300 * time.Millisecond // lateness
-	blindAfter   = 1800 * time.Millisecond
+	modelWindow       = 4 * time.Second
+	modelStep         = 5 * time.Millisecond
+	modelQuota        = 100 * time.Millisecond
+	largeShare        = 0.8
+	smallShare        = 0.144
+	costClose         = 15 * time.Microsecond
+	costRead          = 120 * time.Microsecond
+	costStream        = 1200 * time.Microsecond // for each second of a stream
+	costRelay         = 500 * time.Microsecond  // the same for a stream that is only relayed
+	streamTime        = time.Second
+	modelTokens       = 3000.0 // of one request
+	modelBacklog      = 1024   // connections in the kernel's accept queue
+	callerTimeout     = 3 * time.Second
+	readyInterval     = time.Second
+	exchangeInterval  = 100 * time.Millisecond
+	noReceiveLateness = 300 * time.Millisecond // lateness from which messages of other routers wait unread
+	maxStaleness      = 1800 * time.Millisecond
 )
 
 // design is what the routers of a run do.
 type design struct {
 	name string
-	// deals: late routers deal their connections out, in place of closing all.
-	deals bool
-	// counts: what is refused for streams or closed unread counts as asked.
-	counts bool
-	// throttles: teams that are ahead of the least served one that asks have a rate.
+	// limits: late routers limit connections by a State instead of closing all.
+	limits bool
+	// countsAll: requests that are refused because of the stream limit or closed unread
+	// count as asked for.
+	countsAll bool
+	// throttles: teams that are ahead of the least-served one that asks for capacity get a
+	// rate limit.
 	throttles bool
-	// hands: a late router hands streams on to the idlest of its data centre.
-	hands bool
+	// handsOver: a late router hands streams over to the least loaded router of its data
+	// centre.
+	handsOver bool
 }
 
 // modelFlow is what a team's callers send.
 type modelFlow struct {
 	team    string
 	centres []int
-	// callers is the number of addresses in each data centre, rate the requests a second
-	// of all.
+	// callers is the number of addresses in each data centre, rate the requests a second of
+	// all.
 	callers int
 	rate    float64
 }
@@ -65,15 +68,15 @@
 	flow    *modelFlow
 	caller  int
 	centre  int
-	began   time.Duration
+	started time.Duration
 	arrived time.Duration
-	second  bool
+	isRetry bool
 }
 
 type stream struct {
-	team  string
-	until time.Duration
-	at    *modelRouter // who runs it, if handed on
+	team   string
+	until  time.Duration
+	runsAt *modelRouter // the router that runs it, if handed over
 }
 
 type modelRouter struct {
@@ -86,13 +89,13 @@
 	tracker *saturation.Tracker
 	limit   *saturation.Limit
 	rot     *rotation.State
-	in      *State
+	intake  *State
 	streams []stream
 	relayed int
 	misses  int
 	ready   bool
-	// heard is when it heard the others last.
-	heard time.Duration
+	// receivedAt is when the router last received messages of the others.
+	receivedAt time.Duration
 	// undecided are decided on once there is processor time again.
 	undecided []string
 	bySize    map[string]int
@@ -105,11 +108,11 @@
 	centres [][]*modelRouter
 	routers []*modelRouter
 	meter   *fairshare.Meter
-	// throttle is one for all routers, as the model has no delay between them.
+	// throttle is shared by all routers, because the model has no delay between them.
 	throttle *throttle.State[fairshare.TeamID]
 	observed time.Duration
-	perSec   float64 // tokens that servers do
-	queue    float64 // tokens that wait there
+	perSec   float64 // tokens that the servers process a second
+	queue    float64 // tokens queued at the servers
 	got      map[string]float64
 	asked    map[string]float64
 	tries    int
@@ -131,7 +134,7 @@
 		r := &modelRouter{
 			id: fmt.Sprint("r-", i), number: i, centre: i % centres, share: share, ready: true,
 			tracker: saturation.New(saturation.DefaultConfig()), limit: saturation.NewLimit(saturation.DefaultLimitConfig()),
-			rot: rotation.New(rotation.DefaultConfig()), in: New(DefaultConfig()), bySize: map[string]int{},
+			rot: rotation.New(rotation.DefaultConfig()), intake: New(DefaultConfig()), bySize: map[string]int{},
 		}
 		f.routers = append(f.routers, r)
 		f.centres[r.centre] = append(f.centres[r.centre], r)
@@ -141,7 +144,8 @@
 
 func at(now time.Duration) time.Time { return time.Unix(1000, 0).Add(now) }
 
-// choose is the balancer: the first router in rotation in the caller's order, or the next.
+// choose is the balancer: it returns the first router in rotation in the caller's order, or
+// the next one for a retry.
 func (f *modelFleet) choose(a attempt) *modelRouter {
 	all := f.centres[a.centre]
 	key := fmt.Sprint(a.flow.team, a.centre, a.caller)
@@ -157,7 +161,7 @@
 		}
 	}
 	skip := 0
-	if a.second {
+	if a.isRetry {
 		skip = 1
 	}
 	for _, i := range order {
@@ -183,39 +187,39 @@
 	r.queue = append(r.queue, a)
 }
 
-// again is the caller's second try.
-func (f *modelFleet) again(a attempt) {
-	if a.second || f.now-a.began > callerWaits {
+// retry is the caller's second try.
+func (f *modelFleet) retry(a attempt) {
+	if a.isRetry || f.now-a.started > callerTimeout {
 		return
 	}
-	a.second = true
+	a.isRetry = true
 	f.arrive(a)
 }
 
-// standing of a team, by what routers told each other.
+// standing returns the team's standing (its use in relation to its share), from what
+// routers report to each other.
 func (f *modelFleet) standing(team string) float64 {
 	return f.meter.Standing(at(f.now), fairshare.IDOf(team), f.perSec*modelWindow.Seconds())
 }
 
-// admits is the servers' side: the wait that is admissible falls with what the team got of
-// its share.
+// admits is the servers' side: the admissible wait falls with the team's standing.
 func (f *modelFleet) admits(team string) bool {
 	standing := f.standing(team)
 	if f.design.throttles && !f.inRate(team) {
 		return false
 	}
-	const patience, below, beyond = 0.18, 1.5, 0.2
-	factor := below
+	const maxWait, belowShare, aboveShare = 0.18, 1.5, 0.2
+	factor := belowShare
 	switch {
 	case standing >= 1.3:
-		factor = beyond * 1.3 / standing
+		factor = aboveShare * 1.3 / standing
 	case standing > 0.7:
-		factor = below + (standing-0.7)/0.6*(beyond-below)
+		factor = belowShare + (standing-0.7)/0.6*(aboveShare-belowShare)
 	}
-	return f.queue/f.perSec <= patience*factor
+	return f.queue/f.perSec <= maxWait*factor
 }
 
-// inRate reports whether the team's rate admits a request.
+// inRate reports whether the team's rate limit admits a request.
 func (f *modelFleet) inRate(team string) bool {
 	if f.now-f.observed >= 50*time.Millisecond {
 		f.observed = f.now
@@ -238,7 +242,7 @@
 	f.throttle.Ask(at(f.now), fairshare.IDOf(team), modelTokens)
 }
 
-// step of one router.
+// step advances one router.
 func (f *modelFleet) step(r *modelRouter) {
 	if f.now%modelQuota == 0 {
 		r.budget = min(r.budget, 0) + time.Duration(r.share*float64(modelQuota))
@@ -246,70 +250,70 @@
 	for i := 0; i < len(r.streams); i++ {
 		s := r.streams[i]
 		cost := costStream
-		if s.at != nil {
+		if s.runsAt != nil {
 			cost = costRelay
-			s.at.budget -= time.Duration(float64(costStream) * modelStep.Seconds())
+			s.runsAt.budget -= time.Duration(float64(costStream) * modelStep.Seconds())
 		}
 		r.budget -= time.Duration(float64(cost) * modelStep.Seconds())
 		if f.now >= s.until {
 			r.bySize[s.team]--
-			if s.at != nil {
-				s.at.relayed--
+			if s.runsAt != nil {
+				s.runsAt.relayed--
 			}
 			r.streams = slices.Delete(r.streams, i, i+1)
 			i--
 		}
 	}
 	for ; len(r.undecided) > 0 && r.budget > 0; r.undecided = r.undecided[1:] {
-		r.in.Decided(r.undecided[0])
+		r.intake.Decided(r.undecided[0])
 	}
 	for len(r.queue) > 0 && r.budget > 0 {
 		a := r.queue[0]
 		r.queue = r.queue[1:]
-		f.take(r, a)
+		f.handle(r, a)
 	}
 }
 
-func (f *modelFleet) take(r *modelRouter, a attempt) {
+func (f *modelFleet) handle(r *modelRouter, a attempt) {
 	team := a.flow.team
-	closes := r.tracker.Mean() >= DefaultConfig().Late
-	if f.design.deals {
-		_, taken := r.in.Takes(at(f.now), team, f.standing(team) > 1)
-		closes = !taken
+	closes := r.tracker.Mean() >= DefaultConfig().HighLateness
+	if f.design.limits {
+		_, admitted := r.intake.Takes(at(f.now), team, f.standing(team) > 1)
+		closes = !admitted
 	}
-	if f.design.counts {
+	if f.design.countsAll {
 		f.ask(team)
 	}
 	if closes {
 		r.budget -= costClose
 		f.failed++
-		f.again(a)
+		f.retry(a)
 		return
 	}
 	r.budget -= costRead
-	if f.design.deals {
+	if f.design.limits {
 		r.undecided = append(r.undecided, team)
 	}
-	if f.now-a.began > callerWaits {
+	if f.now-a.started > callerTimeout {
 		f.failed++
 		return
 	}
-	if f.now-r.heard > blindAfter {
+	if f.now-r.receivedAt > maxStaleness {
 		f.failed++
-		f.again(a)
+		f.retry(a)
 		return
 	}
 	if !saturation.Admits(r.limit.Most(), len(r.streams), r.bySize[team]) {
 		f.failed++
-		f.again(a)
+		f.retry(a)
 		return
 	}
-	if !f.design.counts {
+	if !f.design.countsAll {
 		f.ask(team)
 	}
 	if !f.admits(team) {
 		f.failed++
-		f.again(a)
+		f.retry(a)
 		return
 	}
 	f.meter.Begin(at(f.now), fairshare.IDOf(team), modelTokens)
@@ -317,14 +321,15 @@
 	f.got[team] += modelTokens
 	f.queue += modelTokens
 	s := stream{team: team, until: f.now + streamTime}
-	if f.design.hands && r.tracker.Mean() > 10*time.Millisecond {
-		s.at = f.idlest(r)
+	if f.design.handsOver && r.tracker.Mean() > 10*time.Millisecond {
+		s.runsAt = f.idlest(r)
 	}
 	r.bySize[team]++
 	r.streams = append(r.streams, s)
 }
 
-// idlest is the router of the data centre with most room that is not late, or nil.
+// idlest returns the router of the data centre with the most free capacity that is not
+// late, or nil.
 func (f *modelFleet) idlest(r *modelRouter) *modelRouter {
 	var best *modelRouter
 	var most float64
@@ -340,20 +345,20 @@
 	return best
 }
 
-// observe is what routers measure and tell.
+// observe is what routers measure and report.
 func (f *modelFleet) observe(r *modelRouter) {
 	late := time.Duration(float64(max(-r.budget, 0)) / r.share)
-	if len(r.queue) > 0 && !f.design.deals {
-		// What was accepted and not read holds up everything else.
+	if len(r.queue) > 0 && !f.design.limits {
+		// Connections that were accepted and not read delay everything behind them.
 		late = f.now - r.queue[0].arrived
 	}
-	if late < deafFrom {
-		r.heard = f.now
+	if late < noReceiveLateness {
+		r.receivedAt = f.now
 	}
 	r.tracker.Observe(late)
 	now := at(f.now)
 	r.limit.Adjust(now, r.tracker.Mean(), len(r.streams))
-	r.in.Observe(now, late, r.limit.Most() > 0 && len(r.streams) >= r.limit.Most())
+	r.intake.Observe(now, late, r.limit.Most() > 0 && len(r.streams) >= r.limit.Most())
 	r.rot.Observe(now, r.tracker.Saturated(), r.tracker.Calm())
 }
 
@@ -364,7 +369,7 @@
 			flow := &flows[i]
 			for due[i] += flow.rate * modelStep.Seconds(); due[i] >= 1; due[i]-- {
 				f.asked[flow.team] += modelTokens
-				f.arrive(attempt{flow: flow, caller: f.rand.IntN(flow.callers), centre: flow.centres[f.rand.IntN(len(flow.centres))], began: f.now})
+				f.arrive(attempt{flow: flow, caller: f.rand.IntN(flow.callers), centre: flow.centres[f.rand.IntN(len(flow.centres))], started: f.now})
 			}
 		}
 		f.queue = max(f.queue-f.perSec*modelStep.Seconds(), 0)
@@ -374,17 +379,17 @@
 				f.observe(r)
 			}
 		}
-		if f.now%toldAfter == 0 {
-			f.tell()
+		if f.now%exchangeInterval == 0 {
+			f.exchange()
 		}
-		if f.now%readyEvery == 0 {
+		if f.now%readyInterval == 0 {
 			f.poll()
 		}
 	}
 }
 
-// tell lets the routers of a data centre hear each other.
-func (f *modelFleet) tell() {
+// exchange sends the status of each router to the others of its data centre.
+func (f *modelFleet) exchange() {
 	for _, all := range f.centres {
 		for _, r := range all {
 			for _, o := range all {
@@ -396,7 +401,7 @@
 	}
 }
 
-// poll is the balancer's question whether routers are ready.
+// poll is the balancer's readiness check of the routers.
 func (f *modelFleet) poll() {
 	for _, r := range f.routers {
 		if r.rot.Away() {
--- a/coordination/intake/intake_test.go
+++ b/coordination/intake/intake_test.go
@@ -7,37 +7,37 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestConfigNamesWhatIsWrong(t *testing.T) {
+func TestValidateNamesFieldOutOfRange(t *testing.T) {
 	qt.Check(t, DefaultConfig().Validate(), qt.IsNil)
 	bad := DefaultConfig()
-	bad.Pressed, bad.Least = 100, 0
+	bad.Pressed, bad.MinRate = 100, 0
 	qt.Check(t, bad.Validate(), qt.ErrorMatches, "(?s).*Pressed.*")
 }
 
 // flow is the connections of a team in a second.
 type flow struct {
-	team   string
-	perSec int
-	beyond bool
+	team      string
+	perSec    int
+	overShare bool
 }
 
-// play lets connections come, from a moment on for a time, at a router that decides on so
-// many a second, and returns how many were read of each team in the last half.
-func play(s *State, from, span time.Duration, bears float64, flows ...flow) map[string]float64 {
+// play simulates connections from an offset on for a time span, at a router that decides on
+// perSec a second, and returns how many a second were read of each team in the second half.
+func play(s *State, from, span time.Duration, perSec float64, flows ...flow) map[string]float64 {
 	const step = 5 * time.Millisecond
 	now := time.Unix(1000, 0).Add(from)
 	read, due := make(map[string]float64), make(map[string]float64)
 	var backlog []string
-	decides := 0.0
+	budget := 0.0
 	for at := time.Duration(0); at < span; at += step {
 		now = now.Add(step)
 		for _, f := range flows {
 			due[f.team] += float64(f.perSec) * step.Seconds()
 			for ; due[f.team] >= 1; due[f.team]-- {
 				if !s.Dealing() && !s.HasRoom() {
-					continue // it waits in the kernel, and goes
+					continue // it stays in the kernel's accept queue, and is given up
 				}
-				if _, taken := s.Takes(now, f.team, f.beyond); taken {
+				if _, admitted := s.Takes(now, f.team, f.overShare); admitted {
 					backlog = append(backlog, f.team)
 					if at >= span/2 {
 						read[f.team] += 1 / (span / 2).Seconds()
@@ -45,8 +45,8 @@
 				}
 			}
 		}
-		decides = min(decides+bears*step.Seconds(), 5)
-		for ; len(backlog) > 0 && decides >= 1; decides-- {
+		budget = min(budget+perSec*step.Seconds(), 5)
+		for ; len(backlog) > 0 && budget >= 1; budget-- {
 			s.Decided(backlog[0])
 			backlog = backlog[1:]
 		}
@@ -60,32 +60,32 @@
 	return read
 }
 
-// Guards against a flooded router that closes all that comes for seconds: it goes on to
-// read about what it can.
-func TestALateRouterReadsWhatItCan(t *testing.T) {
+// Guards against a flooded router that closes all new connections for seconds: it must keep
+// reading about as many as it can decide on.
+func TestLateRouterReadsAtCapacity(t *testing.T) {
 	got := play(New(DefaultConfig()), 0, 10*time.Second, 200, flow{team: "flood", perSec: 3000})
 	qt.Check(t, got["flood"] > 140 && got["flood"] < 230, qt.IsTrue, qt.Commentf("%v", got))
 }
 
-// Guards against callers who are closed unread beside another team's flood.
-func TestAFloodDoesNotCloseTheOthersConnections(t *testing.T) {
+// Guards against connections that are closed unread because of another team's flood.
+func TestFloodDoesNotCloseConnectionsOfOtherTeams(t *testing.T) {
 	got := play(New(DefaultConfig()), 0, 10*time.Second, 200, flow{team: "flood", perSec: 3000}, flow{team: "a", perSec: 30}, flow{team: "b", perSec: 40})
 	qt.Check(t, got["a"] > 28, qt.IsTrue, qt.Commentf("%v", got))
 	qt.Check(t, got["b"] > 38, qt.IsTrue, qt.Commentf("%v", got))
 	qt.Check(t, got["flood"] > 80, qt.IsTrue, qt.Commentf("%v", got))
 }
 
-// Guards against a team that has had its share taking the places of one that has not.
-func TestATeamBelowItsShareIsReadFirst(t *testing.T) {
-	got := play(New(DefaultConfig()), 0, 10*time.Second, 200, flow{"had", 2000, true}, flow{"below", 1000, false})
+// Guards against a team beyond its share that displaces one below its share.
+func TestTeamBelowItsShareIsReadFirst(t *testing.T) {
+	got := play(New(DefaultConfig()), 0, 10*time.Second, 200, flow{"beyond", 2000, true}, flow{"below", 1000, false})
 	qt.Check(t, got["below"] > 120, qt.IsTrue, qt.Commentf("%v", got))
-	qt.Check(t, got["had"] < 40, qt.IsTrue, qt.Commentf("%v", got))
+	qt.Check(t, got["beyond"] < 40, qt.IsTrue, qt.Commentf("%v", got))
 }
 
-// A router that falls behind closes some of what comes new before it is saturated, and
-// takes connections all the while, so that it never refuses all of them while it says that
-// it is ready.
-func TestARouterThatFallsBehindChoosesAndRecovers(t *testing.T) {
+// A router that falls behind closes some new connections before it is saturated, but admits
+// others throughout, so that it never refuses all of them while it reports that it is
+// ready.
+func TestRouterThatFallsBehindLimitsAndRecovers(t *testing.T) {
 	s, now := New(DefaultConfig()), time.Unix(1000, 0)
 	observe := func(late, span time.Duration) {
 		for range span / (25 * time.Millisecond) {
@@ -97,18 +97,18 @@
 	qt.Check(t, s.Dealing(), qt.IsFalse)
 	observe(35*time.Millisecond, time.Second)
 	qt.Check(t, s.Dealing(), qt.IsTrue)
-	_, taken := s.Takes(now, "a", false)
-	qt.Check(t, taken, qt.IsTrue)
+	_, admitted := s.Takes(now, "a", false)
+	qt.Check(t, admitted, qt.IsTrue)
 	s.Decided("a")
 	observe(5*time.Millisecond, 200*time.Millisecond)
-	_, taken = s.Takes(now, "a", false)
-	qt.Check(t, taken, qt.IsTrue)
+	_, admitted = s.Takes(now, "a", false)
+	qt.Check(t, admitted, qt.IsTrue)
 	observe(5*time.Millisecond, 2*time.Second)
 	qt.Check(t, s.Dealing(), qt.IsFalse)
 }
 
-// When a flood is over, everything is read again.
-func TestAfterAFloodAllIsRead(t *testing.T) {
+// After a flood all connections are read again.
+func TestAllConnectionsAreReadAfterFlood(t *testing.T) {
 	s := New(DefaultConfig())
 	play(s, 0, 5*time.Second, 200, flow{team: "flood", perSec: 3000})
 	qt.Check(t, s.Dealing(), qt.IsTrue)
@@ -117,15 +117,15 @@
 	qt.Check(t, got["a"] > 98, qt.IsTrue, qt.Commentf("%v", got))
 }
 
-// A router whose streams are full reads few requests, which it would refuse.
-func TestWhatWouldBeReadInVainIsNotRead(t *testing.T) {
+// A router whose streams are full reads few requests, since it would refuse them.
+func TestConnectionsThatWouldBeRefusedAreNotRead(t *testing.T) {
 	s := New(DefaultConfig())
 	play(s, 0, 5*time.Second, 200, flow{team: "flood", perSec: 3000})
 	now, read := time.Unix(1005, 0), 0
 	s.Observe(now, 0, true)
 	for range 100 {
 		for range 100 {
-			if _, taken := s.Takes(now, "flood", false); taken {
+			if _, admitted := s.Takes(now, "flood", false); admitted {
 				read++
 				s.Decided("flood")
 			}
@@ -133,11 +133,11 @@
 		now = now.Add(50 * time.Millisecond)
 		s.Observe(now, 0, true)
 	}
-	qt.Check(t, float64(read) < 1.5*5*DefaultConfig().Least, qt.IsTrue, qt.Commentf("%d in 5 s", read))
+	qt.Check(t, float64(read) < 1.5*5*DefaultConfig().MinRate, qt.IsTrue, qt.Commentf("%d in 5 s", read))
 }
 
-// No more connections are undecided than there are places, however many come.
-func TestFewConnectionsAreUndecided(t *testing.T) {
+// The number of undecided connections stays within the window, however many arrive.
+func TestUndecidedConnectionsAreBounded(t *testing.T) {
 	s, now := New(DefaultConfig()), time.Unix(1000, 0)
 	for i := range 400 {
 		now = now.Add(5 * time.Millisecond)
@@ -159,20 +159,20 @@
 	}
 }
 
-// Names are bounded, whoever calls.
+// The number of team names is bounded, whoever connects.
 func TestTeamsAreBounded(t *testing.T) {
 	s := New(DefaultConfig())
 	for i := range 2000 {
 		s.Takes(time.Unix(1000, 0), string(rune('a'+i)), false)
 	}
-	qt.Check(t, len(s.teams) <= DefaultConfig().Teams+1, qt.IsTrue)
+	qt.Check(t, len(s.teams) <= DefaultConfig().MaxTeams+1, qt.IsTrue)
 }
 
-// Guards against places that are never given back, as a team without a name of its own got
-// one while its connection was undecided.
-func TestPlacesAreGivenBackUnderTheNameOfTheirTaking(t *testing.T) {
+// Guards against places in the window that are never released: a team that was counted
+// under the common name got a name of its own while its connection was undecided.
+func TestPlacesAreReleasedUnderNameOfAdmission(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.Teams = 1
+	cfg.MaxTeams = 1
 	s, now := New(cfg), time.Unix(1000, 0)
 	first, _ := s.Takes(now, "a", false)
 	second, _ := s.Takes(now, "b", false)
@@ -184,7 +184,7 @@
 	third, _ := s.Takes(now, "b", false)
 	s.Decided(second)
 	s.Decided(third)
-	for name, one := range s.teams {
-		qt.Check(t, one.undecided, qt.Equals, 0, qt.Commentf("%q", name))
+	for name, team := range s.teams {
+		qt.Check(t, team.undecided, qt.Equals, 0, qt.Commentf("%q", name))
 	}
 }
