--- a/coordination/warmup/config.go
+++ b/coordination/warmup/config.go
@@ -1,19 +1,19 @@
-// Package warmup bounds what cold backend servers get from all routers together,
-// without a word between the routers.
+// Package warmup bounds the rate at which all routers together send to cold backend
+// servers, without messages between the routers.
 //
-// The pattern that it answers: a backend server that has just started bears few
-// requests a second, and crashes well above that. Every router sees it idle and
-// prefers it at the same moment; when a whole data centre comes back, a third of
-// all traffic does. The bound holds for the sum over the routers in any second,
-// also while they cannot hear each other.
+// It answers this pattern: a backend server that has just started can handle few requests a
+// second, and crashes well above that rate. Every router sees it idle and prefers it at the
+// same moment; when a whole data centre returns, that is a third of all traffic. The bound
+// holds for the sum over the routers in any second, also while they are partitioned from
+// each other.
 //
-// A server's rate is dealt out in fixed parts to the first routers of its
-// rendezvous order over those that were registered in the store when it turned
-// cold. A router that registers later gets no part of it, and one whose own
-// registration may have ended uses none, so that routers whose knowledge is of
-// different ages never hold more than all parts together.
+// A server's rate is divided in fixed shares among the first routers of its rendezvous
+// order, out of those that were registered in the store when the server turned cold. A
+// router that registers later gets no share, and one whose own registration may have ended
+// uses none, so that routers with views of different ages never have more than the whole
+// rate together.
 //
-// A State is pure. Direct routers use it.
+// A State performs no I/O and reads no clock. Direct routers use it.
 package warmup
 
 import (
@@ -24,19 +24,18 @@
 
 // Config holds the bounds of a State.
 type Config struct {
-	// Overrun and Slack make the bound of a second from a service's rate: the
-	// rate times Overrun plus Slack. 0 for both: nothing is bounded.
+	// Overrun and Slack define the bound of a second from a service's rate: the rate times
+	// Overrun plus Slack. 0 for both: nothing is bounded.
 	Overrun float64
 	Slack   float64
-	// Parts is the greatest number of routers among which a server's rate is
-	// dealt out; 0: as many as it has whole requests a second. Default 0.
+	// Parts is the greatest number of routers among which a server's rate is divided; 0: as
+	// many as it has whole requests a second. Default 0.
 	Parts int
-	// Window in which a router sends no more than its part. Default 1.1s: the
-	// bound is of any second, and a request leaves up to SendWithin after it was
-	// counted.
+	// Window in which a router sends no more than its share. Default 1.1s: the bound is for
+	// any second, and a request is sent up to SendWithin after it was counted.
 	Window time.Duration
-	// SendWithin is the longest time between the decision to send and the send.
-	// Default 100ms.
+	// SendWithin is the longest time between the decision to send and the send. Default
+	// 100ms.
 	SendWithin time.Duration
 }
 
@@ -57,6 +56,6 @@
 	check(c.Slack >= 0, "Slack must not be negative")
 	check(c.Parts >= 0, "Parts must not be negative")
 	check(c.SendWithin > 0, "SendWithin must be positive")
-	check(c.Window >= time.Second+c.SendWithin, "Window must be a second and SendWithin at least")
+	check(c.Window >= time.Second+c.SendWithin, "Window must be at least a second plus SendWithin")
 	return err
 }
--- a/coordination/warmup/fleet_test.go
+++ b/coordination/warmup/fleet_test.go
@@ -9,8 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Times of the model: a router's lease, how long before its end a router takes part
-// no more, and how long after it was registered anew one takes part.
+// Times of the model: a router's lease, how long before its end a router stops using its
+// shares, and how long after a new registration it starts to.
 const (
 	modelLease  = 9 * time.Second
 	modelMargin = 1500 * time.Millisecond
@@ -19,13 +19,13 @@
 	modelStep   = 10 * time.Millisecond
 )
 
-// change is one write of the model's store.
+// change is one write to the model's store.
 type change struct {
 	revision uint64
 	// router that registered, or whose registration ended.
 	router string
 	joined bool
-	// server that turned cold, for a time.
+	// server that turned cold, and for how long.
 	server  string
 	coldFor time.Duration
 }
@@ -34,19 +34,19 @@
 type modelRouter struct {
 	id    string
 	state *State
-	// seen is the number of changes that it knows, lag how late it learns, deaf
-	// until when it learns nothing.
-	seen int
-	lag  time.Duration
-	deaf time.Time
-	// entered is when it began or was registered anew.
-	entered   time.Time
-	renewedAt time.Time
-	alive     bool
-	known     map[string]uint64
+	// seen is the number of changes that the router knows, lag the delay of the changes to
+	// it, partitionedUntil until when it receives none.
+	seen             int
+	lag              time.Duration
+	partitionedUntil time.Time
+	// registeredAt is when the router started or was registered anew.
+	registeredAt time.Time
+	renewedAt    time.Time
+	alive        bool
+	known        map[string]uint64
 }
 
-// fleet is a model of routers before one store, in virtual time.
+// fleet models routers with one store, in virtual time.
 type fleet struct {
 	t       testing.TB
 	rng     *rand.Rand
@@ -55,9 +55,9 @@
 	routers []*modelRouter
 	changes []change
 	times   []time.Time
-	// leases are the registrations in the store and until when they stand.
+	// leases are the registrations in the store and until when they are valid.
 	leases map[string]time.Time
-	// sends are the sends at each cold server.
+	// sends are the sends to each cold server.
 	sends map[string][]time.Time
 }
 
@@ -81,9 +81,9 @@
 	f.changes, f.times = append(f.changes, c), append(f.times, f.now)
 }
 
-// start begins a process under the id, which registers.
+// start starts a process under the id, which registers.
 func (f *fleet) start(id string) {
-	r := &modelRouter{id: id, state: New(f.cfg, id), lag: time.Duration(f.rng.IntN(800)) * time.Millisecond, entered: f.now, alive: true, known: map[string]uint64{}}
+	r := &modelRouter{id: id, state: New(f.cfg, id), lag: time.Duration(f.rng.IntN(800)) * time.Millisecond, registeredAt: f.now, alive: true, known: map[string]uint64{}}
 	r.state.SetService(modelService, Service{Rate: 13, ColdFor: 3 * time.Second})
 	for i, other := range f.routers {
 		if other.id == id {
@@ -97,15 +97,15 @@
 }
 
 func (f *fleet) register(r *modelRouter) {
-	if _, stands := f.leases[r.id]; !stands {
+	if _, valid := f.leases[r.id]; !valid {
 		f.write(change{router: r.id, joined: true})
-		r.entered = f.now
+		r.registeredAt = f.now
 	}
 	f.leases[r.id], r.renewedAt = f.now.Add(modelLease), f.now
 }
 
-// step lets time pass and routers renew, learn and send. Demand is the probability
-// that a router has a request for each cold server in a step.
+// step advances the time; routers renew their leases, receive changes and send. demand is
+// the probability that a router has a request for each cold server in a step.
 func (f *fleet) step(demand func(r *modelRouter) float64) {
 	f.now = f.now.Add(modelStep)
 	for id, until := range f.leases {
@@ -118,19 +118,19 @@
 		if !r.alive {
 			continue
 		}
-		if f.now.Sub(r.renewedAt) >= modelRenew && f.now.After(r.deaf) {
+		if f.now.Sub(r.renewedAt) >= modelRenew && f.now.After(r.partitionedUntil) {
 			f.register(r)
 		}
-		f.learn(r)
+		f.receive(r)
 		if demand != nil {
 			f.send(r, demand(r))
 		}
 	}
 }
 
-// learn brings the router what it may know by now.
-func (f *fleet) learn(r *modelRouter) {
-	if f.now.Before(r.deaf) {
+// receive applies the changes that have reached the router by now.
+func (f *fleet) receive(r *modelRouter) {
+	if f.now.Before(r.partitionedUntil) {
 		return
 	}
 	for r.seen < len(f.changes) && f.now.Sub(f.times[r.seen]) >= r.lag {
@@ -149,19 +149,19 @@
 }
 
 func (f *fleet) send(r *modelRouter, demand float64) {
-	stands := f.now.Sub(r.entered) >= modelSettle && f.now.Sub(r.renewedAt) < modelLease-modelMargin
-	r.state.SetRegistered(stands)
-	for server, one := range r.state.servers {
+	valid := f.now.Sub(r.registeredAt) >= modelSettle && f.now.Sub(r.renewedAt) < modelLease-modelMargin
+	r.state.SetRegistered(valid)
+	for id, server := range r.state.servers {
 		if f.rng.Float64() >= demand {
 			continue
 		}
-		wait, bounded := r.state.Wait(f.now, one)
+		wait, bounded := r.state.Wait(f.now, server)
 		if wait > 0 || !bounded {
 			continue
 		}
-		by := r.state.Take(f.now, one)
+		by := r.state.Take(f.now, server)
 		late := time.Duration(f.rng.Int64N(int64(by.Sub(f.now))))
-		f.sends[server] = append(f.sends[server], f.now.Add(late))
+		f.sends[id] = append(f.sends[id], f.now.Add(late))
 	}
 }
 
@@ -171,8 +171,8 @@
 	}
 }
 
-// most is the greatest number of sends at a server in any second.
-func (f *fleet) most() (most int) {
+// maxSends is the greatest number of sends to a server in any second.
+func (f *fleet) maxSends() (most int) {
 	for _, times := range f.sends {
 		for _, from := range times {
 			n := 0
@@ -187,7 +187,7 @@
 	return most
 }
 
-// used is the share of the allowed rate that a cold server got, on average.
+// used is the fraction of the allowed rate that a cold server got, on average.
 func (f *fleet) used(span time.Duration, allowed float64) float64 {
 	total := 0
 	for _, times := range f.sends {
@@ -204,32 +204,33 @@
 
 var allowedRate = 13*1.5 + 5.0
 
-// everyone has requests for every cold server, a hundred a second.
-func everyone(*modelRouter) float64 { return 1 }
+// fullDemand makes each router have a request for every cold server in every step, a
+// hundred a second.
+func fullDemand(*modelRouter) float64 { return 1 }
 
-// A whole data centre's servers come back cold: all routers find them idle at the
-// same moment. In no second do they get more than they bear, and most of that is
-// used.
-func TestADataCentreComesBackCold(t *testing.T) {
+// A whole data centre's servers come back cold, and all routers find them idle at the same
+// moment. In no second do the servers get more than they can handle, and most of that rate
+// is used.
+func TestDataCentreReturnsCold(t *testing.T) {
 	for _, n := range []int{3, 30, 103, 300, 800} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newFleet(t, modelConfig(0), n, uint64(n))
 			for i := range 19 {
 				f.write(change{server: fmt.Sprintf("i-%d", i), coldFor: 10 * time.Second})
 			}
-			f.run(time.Second, everyone)
+			f.run(time.Second, fullDemand)
 			clear(f.sends)
-			f.run(8*time.Second, everyone)
-			qt.Check(t, f.most() <= int(allowedRate), qt.IsTrue, qt.Commentf("%d in a second", f.most()))
+			f.run(8*time.Second, fullDemand)
+			qt.Check(t, f.maxSends() <= int(allowedRate), qt.IsTrue, qt.Commentf("%d in a second", f.maxSends()))
 			qt.Check(t, f.used(8*time.Second, allowedRate) >= 0.7, qt.IsTrue, qt.Commentf("%.2f used", f.used(8*time.Second, allowedRate)))
 		})
 	}
 }
 
-// Routers start, are killed, start again under their ids, hear nothing and lose
-// their registrations while servers turn cold again and again: no server ever gets
-// more than it bears.
-func TestNoFailureOfRoutersExceedsTheBound(t *testing.T) {
+// Routers start, are killed, restart under their ids, are partitioned from the store and
+// lose their registrations while servers turn cold repeatedly: no server ever gets more
+// than it can handle.
+func TestRouterFailuresDoNotExceedBound(t *testing.T) {
 	for seed := range uint64(30) {
 		n := []int{3, 7, 30, 60}[seed%4]
 		f := newFleet(t, modelConfig(int(seed%3)), n, seed)
@@ -239,14 +240,14 @@
 			}
 			for range 10 {
 				f.disturb(n)
-				f.run(time.Duration(50+f.rng.IntN(500))*time.Millisecond, everyone)
+				f.run(time.Duration(50+f.rng.IntN(500))*time.Millisecond, fullDemand)
 			}
 		}
-		qt.Assert(t, f.most() <= int(allowedRate), qt.IsTrue, qt.Commentf("seed %d: %d in a second", seed, f.most()))
+		qt.Assert(t, f.maxSends() <= int(allowedRate), qt.IsTrue, qt.Commentf("seed %d: %d in a second", seed, f.maxSends()))
 	}
 }
 
-// disturb lets something happen to one router.
+// disturb causes a random fault or start of one router.
 func (f *fleet) disturb(n int) {
 	r := f.routers[f.rng.IntN(len(f.routers))]
 	switch f.rng.IntN(5) {
@@ -255,7 +256,7 @@
 	case 1:
 		f.start(r.id)
 	case 2:
-		r.deaf = f.now.Add(time.Duration(f.rng.IntN(15000)) * time.Millisecond)
+		r.partitionedUntil = f.now.Add(time.Duration(f.rng.IntN(15000)) * time.Millisecond)
 	case 3:
 		if len(f.routers) < 2*n {
 			f.start(fmt.Sprintf("later-%d", len(f.routers)))
@@ -263,8 +264,9 @@
 	}
 }
 
-// Two ways to deal a cold server's rate out, where each router has a few requests a
-// second for it: to one router, or to as many as it has requests a second.
+// BenchmarkColdRateUsed compares ways to divide a cold server's rate when each router has a
+// few requests a second for it: to one router, to four, or to as many as it has requests a
+// second.
 func BenchmarkColdRateUsed(b *testing.B) {
 	for _, parts := range []int{1, 4, 0} {
 		for _, n := range []int{3, 30, 103, 300} {
--- a/coordination/warmup/warmup_test.go
+++ b/coordination/warmup/warmup_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// alone is the state of the only router before one cold server.
+// alone is the state of the only router, with one cold server.
 func alone() (*State, *Server, time.Time) {
 	now := time.Unix(1000, 0)
 	s := New(modelConfig(0), "router")
@@ -18,56 +18,57 @@
 	return s, s.Server("i-1"), now
 }
 
-// send takes as many as the server bears now and returns the number.
-func send(s *State, one *Server, now time.Time) (n int) {
-	for wait, _ := s.Wait(now, one); wait == 0; wait, _ = s.Wait(now, one) {
-		s.Take(now, one)
+// send sends as many requests as the router may now and returns the number.
+func send(s *State, server *Server, now time.Time) (n int) {
+	for wait, _ := s.Wait(now, server); wait == 0; wait, _ = s.Wait(now, server) {
+		s.Take(now, server)
 		n++
 	}
 	return n
 }
 
-// The bounds change while a server is cold: what was sent before counts on.
-func TestChangedBoundsCountWhatWasSent(t *testing.T) {
-	s, one, now := alone()
-	qt.Check(t, send(s, one, now), qt.Equals, 24)
+// The bounds change while a server is cold: earlier sends stay counted.
+func TestChangedBoundsCountEarlierSends(t *testing.T) {
+	s, server, now := alone()
+	qt.Check(t, send(s, server, now), qt.Equals, 24)
 	wider := modelConfig(0)
 	wider.Overrun = 2
 	s.SetConfig(wider)
-	qt.Check(t, send(s, one, now), qt.Equals, 7)
+	qt.Check(t, send(s, server, now), qt.Equals, 7)
 	s.SetConfig(modelConfig(0))
-	qt.Check(t, send(s, one, now.Add(500*time.Millisecond)), qt.Equals, 0)
+	qt.Check(t, send(s, server, now.Add(500*time.Millisecond)), qt.Equals, 0)
 }
 
-// A server is presumed cold although its entry says nothing, or says that it is warm:
-// it was written before.
-func TestAPresumedServerStaysColdThoughItsEntrySaysWarm(t *testing.T) {
+// A server stays presumed cold though its entry says nothing, or says that it is warm: the
+// entry was written before.
+func TestPresumedServerStaysColdThoughEntrySaysWarm(t *testing.T) {
 	s, _, now := alone()
 	s.Presume(now, "i-2", modelService, 3)
 	s.Entered(now, "i-2", modelService, 0, 4)
-	one := s.Server("i-2")
-	_, bounded := s.Wait(now.Add(2900*time.Millisecond), one)
+	server := s.Server("i-2")
+	_, bounded := s.Wait(now.Add(2900*time.Millisecond), server)
 	qt.Check(t, bounded, qt.IsTrue)
-	_, bounded = s.Wait(now.Add(3*time.Second), one)
+	_, bounded = s.Wait(now.Add(3*time.Second), server)
 	qt.Check(t, bounded, qt.IsFalse)
 }
 
-// Services without a rate and fleets without bounds bound nothing.
-func TestWithoutARateNothingIsBounded(t *testing.T) {
-	s, one, now := alone()
+// Without a rate of the service or without bounds nothing is bounded.
+func TestNothingIsBoundedWithoutRate(t *testing.T) {
+	s, server, now := alone()
 	s.SetService(modelService, Service{})
-	_, bounded := s.Wait(now, one)
+	_, bounded := s.Wait(now, server)
 	qt.Check(t, bounded, qt.IsFalse)
-	s, one, now = alone()
+	s, server, now = alone()
 	s.SetConfig(DefaultConfig())
-	_, bounded = s.Wait(now, one)
+	_, bounded = s.Wait(now, server)
 	qt.Check(t, bounded, qt.IsFalse)
 }
 
-// Guards against a cold server that gets more than it bears from routers of which one registered
-// between its data centre's return and its entry's word: those that presumed that it was cold
-// dealt its rate out without that router, and that router with itself.
-func TestARouterThatRegistersBeforeTheEntrySaysColdIsCountedByAll(t *testing.T) {
+// Guards against a cold server that gets more than it can handle. One router registered
+// between the return of the server's data centre and the update of the server's entry: the
+// routers that presumed the server cold divided its rate without that router, and that
+// router included itself.
+func TestRouterRegisteredBeforeColdEntryIsCountedByAll(t *testing.T) {
 	now := time.Unix(1000, 0)
 	registered := map[string]uint64{"router-0": 1, "router-1": 2, "router-2": 101}
 	total := 0
