--- a/coordination/admission/announced_fleet_test.go
+++ b/coordination/admission/announced_fleet_test.go
@@ -219,7 +219,7 @@
 func (f *modelFleet) tell(m *modelRouter) {
 	f.After(f.period, func() { f.tell(m) })
 	var words []ServerID
-	for _, one := range m.roster.Leaving() {
+	for _, one := range m.roster.AnnouncedServers() {
 		words = append(words, NumberOf(one.ID, one.Incarnation))
 	}
 	maps.DeleteFunc(m.telling, func(number ServerID, _ time.Time) bool { return !slices.Contains(words, number) })
@@ -241,7 +241,7 @@
 func (f *modelFleet) told(m *modelRouter, words []ServerID) {
 	for _, number := range words {
 		if id, incarnation, known := m.state.Numbered(number); known {
-			f.apply(m, m.roster.Told(f.Now, id, incarnation))
+			f.apply(m, m.roster.ShutdownReported(f.Now, id, incarnation))
 		}
 	}
 }
@@ -349,7 +349,7 @@
 		if heard.leaving.IsZero() {
 			heard.leaving = f.Now
 		}
-		f.apply(m, m.roster.Announced(one.entry.ID, one.entry.Incarnation))
+		f.apply(m, m.roster.ShutdownAnnounced(one.entry.ID, one.entry.Incarnation))
 	}
 	if sheds {
 		asked := f.between(50*time.Millisecond, 4*time.Second)
--- a/coordination/intake/fleet_test.go
+++ b/coordination/intake/fleet_test.go
@@ -278,7 +278,7 @@
 	team := a.flow.team
 	closes := r.tracker.Mean() >= DefaultConfig().HighLateness
 	if f.design.limits {
-		_, admitted := r.intake.Takes(at(f.now), team, f.standing(team) > 1)
+		_, admitted := r.intake.Admit(at(f.now), team, f.standing(team) > 1)
 		closes = !admitted
 	}
 	if f.design.countsAll {
@@ -335,7 +335,7 @@
 	var most float64
 	for _, o := range f.centres[r.centre] {
 		room := o.share - float64(len(o.streams)+o.relayed)*costStream.Seconds()
-		if o != r && o.tracker.Calm() && room > most {
+		if o != r && o.tracker.OnTime() && room > most {
 			best, most = o, room
 		}
 	}
@@ -359,7 +359,7 @@
 	now := at(f.now)
 	r.limit.Adjust(now, r.tracker.Mean(), len(r.streams))
 	r.intake.Observe(now, late, r.limit.Most() > 0 && len(r.streams) >= r.limit.Most())
-	r.rot.Observe(now, r.tracker.Saturated(), r.tracker.Calm())
+	r.rot.Observe(now, r.tracker.Saturated(), r.tracker.OnTime())
 }
 
 func (f *modelFleet) run(span time.Duration, flows []modelFlow) {
@@ -394,7 +394,7 @@
 		for _, r := range all {
 			for _, o := range all {
 				if o != r {
-					r.rot.Heard(at(f.now), o.id, o.rot.Word(at(f.now)))
+					r.rot.Receive(at(f.now), o.id, o.rot.Status(at(f.now)))
 				}
 			}
 		}
@@ -404,7 +404,7 @@
 // poll is the balancer's readiness check of the routers.
 func (f *modelFleet) poll() {
 	for _, r := range f.routers {
-		if r.rot.Away() {
+		if r.rot.OutOfRotation() {
 			r.misses++
 		} else {
 			r.misses = 0
--- a/coordination/intake/intake.go
+++ b/coordination/intake/intake.go
@@ -27,9 +27,9 @@
 	// Calm is the number of connections that may be undecided while all are read. Pressed
 	// and Fewest are the bounds of the window while connections are limited. Defaults 64, 16
 	// and 2: a small instance decides on sixteen in about twenty milliseconds.
-	Calm    int
-	Pressed int
-	Fewest  int
+	MaxUndecided int
+	MaxWindow    int
+	MinWindow    int
 	// HighLateness is the mean lateness from which connections are limited and the window
 	// shrinks, LowLateness the one below which the window grows. Defaults 30ms and 15ms: a
 	// connection accepted at a lateness of 30ms is read after about six times as long, a
@@ -43,7 +43,7 @@
 	// limited. Default 50ms.
 	PressureTime time.Duration
 	// Every is the time between two changes of the window. Default 100ms.
-	Every time.Duration
+	Interval time.Duration
 	// MinRate is the number of connections a second that are read even when the router has
 	// as many streams as it can run. Default 20.
 	MinRate float64
@@ -57,7 +57,7 @@
 // DefaultConfig returns the documented defaults.
 func DefaultConfig() Config {
 	return Config{
-		Calm: 64, Pressed: 16, Fewest: 2, HighLateness: 30 * time.Millisecond, LowLateness: 15 * time.Millisecond, Gain: 0.3, PressureTime: 50 * time.Millisecond, Every: 100 * time.Millisecond,
+		MaxUndecided: 64, MaxWindow: 16, MinWindow: 2, HighLateness: 30 * time.Millisecond, LowLateness: 15 * time.Millisecond, Gain: 0.3, PressureTime: 50 * time.Millisecond, Interval: 100 * time.Millisecond,
 		MinRate: 20, QuietTime: time.Second, MaxTeams: 256,
 	}
 }
@@ -70,11 +70,11 @@
 			err = errors.CombineErrors(err, errors.New(what))
 		}
 	}
-	check(c.Fewest > 0 && c.Pressed >= c.Fewest && c.Calm >= c.Pressed, "Fewest must be positive, Pressed at least as much, Calm at least that")
+	check(c.MinWindow > 0 && c.MaxWindow >= c.MinWindow && c.MaxUndecided >= c.MaxWindow, "Fewest must be positive, Pressed at least as much, Calm at least that")
 	check(c.LowLateness > 0 && c.HighLateness > c.LowLateness, "LowLateness must be positive, HighLateness above it")
 	check(c.Gain > 0 && c.Gain <= 1, "Gain must be between 0 and 1")
 	check(c.PressureTime > 0, "PressureTime must be positive")
-	check(c.Every > 0, "Every must be positive")
+	check(c.Interval > 0, "Every must be positive")
 	check(c.MinRate > 0, "MinRate must be positive")
 	check(c.QuietTime > 0, "QuietTime must be positive")
 	check(c.MaxTeams > 0, "MaxTeams must be positive")
@@ -122,7 +122,7 @@
 func New(cfg Config) *State { return &State{cfg: cfg, teams: make(map[string]*team), activeTeams: 1} }
 
 // Dealing reports whether connections are limited.
-func (s *State) Dealing() bool { return s.limiting }
+func (s *State) Limiting() bool { return s.limiting }
 
 // Undecided returns the number of connections whose request is not decided on.
 func (s *State) Undecided() int { return s.undecided }
@@ -135,13 +135,13 @@
 	if s.limiting {
 		return s.undecided < int(s.window)
 	}
-	return s.undecided < s.cfg.Calm
+	return s.undecided < s.cfg.MaxUndecided
 }
 
 // Takes reports whether a new connection of the team is to be read, and the name to pass to
 // Decided for it. overShare is true if the team got more than its share of the servers'
 // capacity. Callers of unknown teams count as one team.
-func (s *State) Takes(now time.Time, name string, overShare bool) (as string, admitted bool) {
+func (s *State) Admit(now time.Time, name string, overShare bool) (as string, admitted bool) {
 	t, as := s.team(name)
 	t.arrived++
 	if s.limiting && !s.admits(t, overShare) {
@@ -150,7 +150,7 @@
 	}
 	t.undecided++
 	s.undecided++
-	if s.pressureSince.IsZero() && s.undecided >= s.cfg.Calm/2 {
+	if s.pressureSince.IsZero() && s.undecided >= s.cfg.MaxUndecided/2 {
 		s.pressureSince = now
 	}
 	return as, true
@@ -190,7 +190,7 @@
 		t.undecided--
 	}
 	s.undecided--
-	if s.undecided < s.cfg.Calm/4 {
+	if s.undecided < s.cfg.MaxUndecided/4 {
 		s.pressureSince = time.Time{}
 	}
 }
@@ -216,10 +216,10 @@
 	s.streamsFull = streamsFull
 	underPressure := !s.pressureSince.IsZero() && now.Sub(s.pressureSince) >= s.cfg.PressureTime
 	if !s.limiting && (underPressure || s.lateness >= float64(s.cfg.HighLateness)) {
-		s.limiting, s.closedAt, s.window = true, now, float64(s.cfg.Pressed)
+		s.limiting, s.closedAt, s.window = true, now, float64(s.cfg.MaxWindow)
 	}
 	since := now.Sub(s.changedAt)
-	if since < s.cfg.Every {
+	if since < s.cfg.Interval {
 		return
 	}
 	s.changedAt = now
@@ -247,11 +247,11 @@
 	switch {
 	case !s.limiting:
 	case s.lateness >= float64(s.cfg.HighLateness):
-		s.window = max(shrinkFactor*s.window, float64(s.cfg.Fewest))
+		s.window = max(shrinkFactor*s.window, float64(s.cfg.MinWindow))
 	case now.Sub(s.closedAt) >= s.cfg.QuietTime:
 		s.limiting, s.pressureSince = false, time.Time{}
 	case s.lateness < float64(s.cfg.LowLateness):
-		s.window = min(s.window+1, float64(s.cfg.Pressed))
+		s.window = min(s.window+1, float64(s.cfg.MaxWindow))
 	}
 }
 
--- a/coordination/intake/intake_test.go
+++ b/coordination/intake/intake_test.go
@@ -10,7 +10,7 @@
 func TestValidateNamesFieldOutOfRange(t *testing.T) {
 	qt.Check(t, DefaultConfig().Validate(), qt.IsNil)
 	bad := DefaultConfig()
-	bad.Pressed, bad.MinRate = 100, 0
+	bad.MaxWindow, bad.MinRate = 100, 0
 	qt.Check(t, bad.Validate(), qt.ErrorMatches, "(?s).*Pressed.*")
 }
 
@@ -34,10 +34,10 @@
 		for _, f := range flows {
 			due[f.team] += float64(f.perSec) * step.Seconds()
 			for ; due[f.team] >= 1; due[f.team]-- {
-				if !s.Dealing() && !s.HasRoom() {
+				if !s.Limiting() && !s.HasRoom() {
 					continue // it stays in the kernel's accept queue, and is given up
 				}
-				if _, admitted := s.Takes(now, f.team, f.overShare); admitted {
+				if _, admitted := s.Admit(now, f.team, f.overShare); admitted {
 					backlog = append(backlog, f.team)
 					if at >= span/2 {
 						read[f.team] += 1 / (span / 2).Seconds()
@@ -94,26 +94,26 @@
 		}
 	}
 	observe(5*time.Millisecond, time.Second)
-	qt.Check(t, s.Dealing(), qt.IsFalse)
+	qt.Check(t, s.Limiting(), qt.IsFalse)
 	observe(35*time.Millisecond, time.Second)
-	qt.Check(t, s.Dealing(), qt.IsTrue)
-	_, admitted := s.Takes(now, "a", false)
+	qt.Check(t, s.Limiting(), qt.IsTrue)
+	_, admitted := s.Admit(now, "a", false)
 	qt.Check(t, admitted, qt.IsTrue)
 	s.Decided("a")
 	observe(5*time.Millisecond, 200*time.Millisecond)
-	_, admitted = s.Takes(now, "a", false)
+	_, admitted = s.Admit(now, "a", false)
 	qt.Check(t, admitted, qt.IsTrue)
 	observe(5*time.Millisecond, 2*time.Second)
-	qt.Check(t, s.Dealing(), qt.IsFalse)
+	qt.Check(t, s.Limiting(), qt.IsFalse)
 }
 
 // After a flood all connections are read again.
 func TestAllConnectionsAreReadAfterFlood(t *testing.T) {
 	s := New(DefaultConfig())
 	play(s, 0, 5*time.Second, 200, flow{team: "flood", perSec: 3000})
-	qt.Check(t, s.Dealing(), qt.IsTrue)
+	qt.Check(t, s.Limiting(), qt.IsTrue)
 	got := play(s, 5*time.Second, 6*time.Second, 200, flow{team: "a", perSec: 100})
-	qt.Check(t, s.Dealing(), qt.IsFalse)
+	qt.Check(t, s.Limiting(), qt.IsFalse)
 	qt.Check(t, got["a"] > 98, qt.IsTrue, qt.Commentf("%v", got))
 }
 
@@ -125,7 +125,7 @@
 	s.Observe(now, 0, true)
 	for range 100 {
 		for range 100 {
-			if _, admitted := s.Takes(now, "flood", false); admitted {
+			if _, admitted := s.Admit(now, "flood", false); admitted {
 				read++
 				s.Decided("flood")
 			}
@@ -142,19 +142,19 @@
 	for i := range 400 {
 		now = now.Add(5 * time.Millisecond)
 		for range 50 {
-			if s.Dealing() || s.HasRoom() {
-				s.Takes(now, "flood", false)
+			if s.Limiting() || s.HasRoom() {
+				s.Admit(now, "flood", false)
 			}
 		}
 		s.Observe(now, 0, false)
-		qt.Assert(t, s.undecided <= DefaultConfig().Calm, qt.IsTrue)
-		if i > 20 && s.undecided > DefaultConfig().Pressed-4 {
+		qt.Assert(t, s.undecided <= DefaultConfig().MaxUndecided, qt.IsTrue)
+		if i > 20 && s.undecided > DefaultConfig().MaxWindow-4 {
 			for range 4 {
 				s.Decided("flood")
 			}
 		}
 		if i > 100 {
-			qt.Assert(t, s.undecided <= DefaultConfig().Pressed, qt.IsTrue, qt.Commentf("%d", i))
+			qt.Assert(t, s.undecided <= DefaultConfig().MaxWindow, qt.IsTrue, qt.Commentf("%d", i))
 		}
 	}
 }
@@ -163,7 +163,7 @@
 func TestTeamsAreBounded(t *testing.T) {
 	s := New(DefaultConfig())
 	for i := range 2000 {
-		s.Takes(time.Unix(1000, 0), string(rune('a'+i)), false)
+		s.Admit(time.Unix(1000, 0), string(rune('a'+i)), false)
 	}
 	qt.Check(t, len(s.teams) <= DefaultConfig().MaxTeams+1, qt.IsTrue)
 }
@@ -174,14 +174,14 @@
 	cfg := DefaultConfig()
 	cfg.MaxTeams = 1
 	s, now := New(cfg), time.Unix(1000, 0)
-	first, _ := s.Takes(now, "a", false)
-	second, _ := s.Takes(now, "b", false)
+	first, _ := s.Admit(now, "a", false)
+	second, _ := s.Admit(now, "b", false)
 	s.Decided(first)
 	for range 200 {
-		now = now.Add(cfg.Every)
+		now = now.Add(cfg.Interval)
 		s.Observe(now, 0, false)
 	}
-	third, _ := s.Takes(now, "b", false)
+	third, _ := s.Admit(now, "b", false)
 	s.Decided(second)
 	s.Decided(third)
 	for name, team := range s.teams {
--- a/coordination/roster/announced.go
+++ b/coordination/roster/announced.go
@@ -9,7 +9,7 @@
 // Announced records that the incarnation announced its shutdown in an answer to this
 // router. That overrides its entries, earlier and later ones: they may be older than the
 // announcement, and cannot change while the store is unavailable.
-func (r *Roster) Announced(id string, incarnation Incarnation) []Change {
+func (r *Roster) ShutdownAnnounced(id string, incarnation Incarnation) []Change {
 	known, drained := r.latest(id)
 	if incarnation < known || incarnation == known && drained {
 		return nil
@@ -37,7 +37,7 @@
 // Told records that another router reported the shutdown of the incarnation. A report
 // counts for a time, longer while it is repeated, and only once: an error of one router
 // must not keep a healthy server idle.
-func (r *Roster) Told(now time.Time, id string, incarnation Incarnation) []Change {
+func (r *Roster) ShutdownReported(now time.Time, id string, incarnation Incarnation) []Change {
 	e := r.entries[id]
 	if e == nil || e.server.Draining || e.server.Incarnation != incarnation {
 		return nil
@@ -73,7 +73,7 @@
 
 // Leaving returns the servers that announced their shutdown to this router and still have
 // an entry, by their ids. This router reports them to the others.
-func (r *Roster) Leaving() []Server {
+func (r *Roster) AnnouncedServers() []Server {
 	var out []Server
 	for id := range r.announced {
 		out = append(out, r.entries[id].server)
--- a/coordination/roster/announced_test.go
+++ b/coordination/roster/announced_test.go
@@ -39,14 +39,14 @@
 			r.Evacuate(nil)
 		}},
 		"another router reports it too, and the report expires": {0, func(r *Roster) {
-			r.Told(start, "a", 0)
+			r.ShutdownReported(start, "a", 0)
 			r.Tick(after(time.Hour))
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := New(DefaultConfig())
 			set := replay(map[string]bool{}, r.Put(entryOf(tc.incarnation, false)))
-			replay(set, r.Announced("a", tc.incarnation))
+			replay(set, r.ShutdownAnnounced("a", tc.incarnation))
 			qt.Check(t, set, qt.HasLen, 0)
 			tc.steps(r)
 			qt.Check(t, r.Has("a"), qt.IsFalse)
@@ -72,15 +72,15 @@
 func TestAnnouncementAppliesToOneIncarnation(t *testing.T) {
 	r := New(DefaultConfig())
 	r.Put(entryOf(200, false))
-	qt.Check(t, r.Announced("a", 100), qt.HasLen, 0)
+	qt.Check(t, r.ShutdownAnnounced("a", 100), qt.HasLen, 0)
 	qt.Check(t, r.Has("a"), qt.IsTrue)
-	qt.Check(t, r.Told(start, "a", 100), qt.HasLen, 0)
+	qt.Check(t, r.ShutdownReported(start, "a", 100), qt.HasLen, 0)
 	r.Remove(start, "a")
-	qt.Check(t, r.Announced("a", 200), qt.HasLen, 0)
+	qt.Check(t, r.ShutdownAnnounced("a", 200), qt.HasLen, 0)
 	r.Put(entryOf(200, false))
 	qt.Check(t, r.Has("a"), qt.IsFalse)
 	// The other routers, which see the entry come back, get the announcement.
-	qt.Check(t, r.Leaving(), qt.HasLen, 1)
+	qt.Check(t, r.AnnouncedServers(), qt.HasLen, 1)
 }
 
 // A router reports to the others what servers announced to it, and not what other routers
@@ -88,17 +88,17 @@
 func TestOnlyOwnAnnouncementsAreReported(t *testing.T) {
 	r := New(DefaultConfig())
 	r.Put(entryOf(100, false))
-	r.Told(start, "a", 100)
-	qt.Check(t, r.Leaving(), qt.HasLen, 0)
-	r.Announced("a", 100)
-	qt.Check(t, r.Leaving(), qt.HasLen, 1)
+	r.ShutdownReported(start, "a", 100)
+	qt.Check(t, r.AnnouncedServers(), qt.HasLen, 0)
+	r.ShutdownAnnounced("a", 100)
+	qt.Check(t, r.AnnouncedServers(), qt.HasLen, 1)
 	r.Remove(start, "a")
-	qt.Check(t, r.Leaving(), qt.HasLen, 0)
+	qt.Check(t, r.AnnouncedServers(), qt.HasLen, 0)
 	// The entry is written late: the others may have forgotten the announcement.
 	r.Put(entryOf(100, false))
-	qt.Check(t, r.Leaving(), qt.HasLen, 1)
+	qt.Check(t, r.AnnouncedServers(), qt.HasLen, 1)
 	r.Put(entryOf(200, false))
-	qt.Check(t, r.Leaving(), qt.HasLen, 0)
+	qt.Check(t, r.AnnouncedServers(), qt.HasLen, 0)
 }
 
 // A report of another router keeps a server from requests for a time and once, so that a
@@ -107,11 +107,11 @@
 	cfg := DefaultConfig()
 	r := New(cfg)
 	r.Put(entryOf(100, false))
-	qt.Check(t, reasonOf(r.Told(start, "a", 100)), qt.Equals, ReasonReported)
+	qt.Check(t, reasonOf(r.ShutdownReported(start, "a", 100)), qt.Equals, ReasonReported)
 	qt.Check(t, r.Put(entryOf(100, false)), qt.HasLen, 0)
 	qt.Check(t, r.Tick(after(cfg.ReportTTL-time.Millisecond)), qt.HasLen, 0)
-	r.Told(after(cfg.ReportTTL-time.Millisecond), "a", 100)
+	r.ShutdownReported(after(cfg.ReportTTL-time.Millisecond), "a", 100)
 	qt.Check(t, reasonOf(r.Tick(after(cfg.ReportTTL))), qt.Equals, ReasonUnconfirmed)
-	qt.Check(t, r.Told(after(cfg.ReportTTL), "a", 100), qt.HasLen, 0)
-	qt.Check(t, reasonOf(r.Announced("a", 100)), qt.Equals, ReasonAnnounced)
+	qt.Check(t, r.ShutdownReported(after(cfg.ReportTTL), "a", 100), qt.HasLen, 0)
+	qt.Check(t, reasonOf(r.ShutdownAnnounced("a", 100)), qt.Equals, ReasonAnnounced)
 }
--- a/coordination/roster/expiry_test.go
+++ b/coordination/roster/expiry_test.go
@@ -27,7 +27,7 @@
 	r := New(cfg)
 	r.Put(entryOf(100, false))
 	for since := time.Duration(0); since < 2*cfg.ReportTTL; since += time.Second {
-		r.Told(after(since), "a", 100)
+		r.ShutdownReported(after(since), "a", 100)
 		r.Tick(after(since))
 		qt.Assert(t, r.entries["a"].usable, qt.IsFalse, qt.Commentf("after %v", since))
 	}
@@ -47,7 +47,7 @@
 		var since time.Duration
 		for ; since < 2*cfg.ReportMaxTTL && (since == 0 || !r.entries["a"].usable); since += 500 * time.Millisecond {
 			if since < tc.repeatedFor {
-				r.Told(after(since), "a", 100)
+				r.ShutdownReported(after(since), "a", 100)
 			}
 			r.Tick(after(since))
 		}
--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -107,10 +107,10 @@
 
 // StoreSound records that the store answered other routers throughout: an entry that is
 // missing now was removed, and did not lapse.
-func (r *Roster) StoreSound() { r.storeLost, r.graceEnd = false, time.Time{} }
+func (r *Roster) StoreHealthy() { r.storeLost, r.graceEnd = false, time.Time{} }
 
 // Away reports whether the store answers no router, as far as is known.
-func (r *Roster) Away() bool { return r.storeLost }
+func (r *Roster) StoreUnavailable() bool { return r.storeLost }
 
 // Settling reports whether entries may be missing only because of an outage of the store.
 func (r *Roster) Settling(now time.Time) bool { return r.storeLost || now.Before(r.graceEnd) }
--- a/coordination/roster/roster_test.go
+++ b/coordination/roster/roster_test.go
@@ -75,7 +75,7 @@
 	r.Put(Server{ID: "a"})
 	r.StoreLost()
 	qt.Check(t, r.Settling(start), qt.IsTrue)
-	r.StoreSound()
+	r.StoreHealthy()
 	qt.Check(t, r.Settling(start), qt.IsFalse)
 	qt.Check(t, reasonOf(r.Replace(start, nil)), qt.Equals, ReasonRemoved)
 }
@@ -225,9 +225,9 @@
 				if announced >= latest {
 					drained[announced], latest = true, announced
 				}
-				changes = r.Announced("a", announced)
+				changes = r.ShutdownAnnounced("a", announced)
 			case 7:
-				changes = r.Told(now, "a", Incarnation(rapid.IntRange(1, 4).Draw(t, "reported")))
+				changes = r.ShutdownReported(now, "a", Incarnation(rapid.IntRange(1, 4).Draw(t, "reported")))
 			default:
 				r.StoreBack(now)
 			}
--- a/coordination/rotation/rotation.go
+++ b/coordination/rotation/rotation.go
@@ -66,7 +66,7 @@
 }
 
 // Word is what a router sends to its neighbours.
-type Word struct {
+type Status struct {
 	// Away is for how long the router has been out of rotation; 0: it is in rotation.
 	Away time.Duration
 	// Late is true if the router has more work than it can do.
@@ -75,7 +75,7 @@
 
 // neighbour is another router of the data centre.
 type neighbour struct {
-	status     Word
+	status     Status
 	receivedAt time.Time
 }
 
@@ -106,13 +106,13 @@
 func (s *State) goneAfter() time.Duration { return max(s.cfg.GoneAfter, 6*s.period) }
 
 // Heard records the status of another router of the data centre.
-func (s *State) Heard(now time.Time, router string, status Word) {
+func (s *State) Receive(now time.Time, router string, status Status) {
 	s.neighbours[router] = neighbour{status: status, receivedAt: now}
 }
 
 // Word returns what this router sends to its neighbours.
-func (s *State) Word(now time.Time) Word {
-	status := Word{Late: s.overloaded}
+func (s *State) Status(now time.Time) Status {
+	status := Status{Late: s.overloaded}
 	if s.out {
 		status.Away = max(now.Sub(s.leftAt), time.Millisecond)
 	}
@@ -120,7 +120,7 @@
 }
 
 // Away reports whether the router is out of rotation.
-func (s *State) Away() bool { return s.out }
+func (s *State) OutOfRotation() bool { return s.out }
 
 // Observe takes whether the router is overloaded and whether it reads its input on time;
 // both may be false. It reports whether the router left the rotation or returned.
--- a/coordination/rotation/rotation_test.go
+++ b/coordination/rotation/rotation_test.go
@@ -61,7 +61,7 @@
 	for _, from := range d.routers {
 		for _, to := range d.routers {
 			if from != to && from.alive && to.alive {
-				to.state.Heard(d.now, from.id, from.state.Word(d.now))
+				to.state.Receive(d.now, from.id, from.state.Status(d.now))
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 		r.loaded, r.free = 0, r.free+step
 	}
 	if r.state.Observe(d.now, r.loaded >= overloadAfter, r.free >= reliefAfter) {
-		r.in, r.changed = !r.state.Away(), d.now
+		r.in, r.changed = !r.state.OutOfRotation(), d.now
 	}
 }
 
@@ -175,7 +175,7 @@
 		s, now := New(DefaultConfig()), time.Unix(1000, 0)
 		s.SetPeriod(period)
 		for i := range 41 {
-			s.Heard(now, fmt.Sprint(i), Word{})
+			s.Receive(now, fmt.Sprint(i), Status{})
 		}
 		qt.Check(t, s.Observe(now.Add(3500*time.Millisecond), true, false), qt.Equals, leaves, qt.Commentf("%v", period))
 	}
@@ -187,7 +187,7 @@
 	for n := 1; n <= 3; n++ {
 		s, now := New(DefaultConfig()), time.Unix(1000, 0)
 		for i := range n - 1 {
-			s.Heard(now, fmt.Sprint(i), Word{Away: time.Second})
+			s.Receive(now, fmt.Sprint(i), Status{Away: time.Second})
 		}
 		qt.Check(t, s.Observe(now, true, false), qt.IsTrue)
 		qt.Check(t, s.Observe(now.Add(5900*time.Millisecond), false, true), qt.IsFalse)
--- a/coordination/saturation/saturation.go
+++ b/coordination/saturation/saturation.go
@@ -49,7 +49,7 @@
 	switch {
 	case !t.saturated && t.mean > float64(t.cfg.Enter):
 		t.saturated = true
-	case t.saturated && t.Calm():
+	case t.saturated && t.OnTime():
 		t.saturated = false
 	default:
 		return false
@@ -61,7 +61,7 @@
 func (t *Tracker) Saturated() bool { return t.saturated }
 
 // Calm reports whether input is read without notable delay.
-func (t *Tracker) Calm() bool { return t.mean < float64(t.cfg.Leave) }
+func (t *Tracker) OnTime() bool { return t.mean < float64(t.cfg.Leave) }
 
 // Mean returns the mean lateness.
 func (t *Tracker) Mean() time.Duration { return time.Duration(t.mean) }
--- a/coordination/saturation/saturation_test.go
+++ b/coordination/saturation/saturation_test.go
@@ -26,10 +26,10 @@
 	qt.Check(t, tr.Saturated(), qt.IsTrue)
 	observe(tr, 20*time.Millisecond, 5*time.Second)
 	qt.Check(t, tr.Saturated(), qt.IsTrue)
-	qt.Check(t, tr.Calm(), qt.IsFalse)
+	qt.Check(t, tr.OnTime(), qt.IsFalse)
 	observe(tr, time.Millisecond, time.Second)
 	qt.Check(t, tr.Saturated(), qt.IsFalse)
-	qt.Check(t, tr.Calm(), qt.IsTrue)
+	qt.Check(t, tr.OnTime(), qt.IsTrue)
 }
 
 // A single long pause, such as a freeze or a garbage collection, does not count as
--- a/coordination/telling/telling.go
+++ b/coordination/telling/telling.go
@@ -100,7 +100,7 @@
 
 // Heard records a message of another router. It reports false if a later message of that
 // router, or the same one by another path, arrived before.
-func (f *Fleet) Heard(now time.Time, m Message) bool {
+func (f *Fleet) Receive(now time.Time, m Message) bool {
 	last, ok := f.known[m.Router]
 	if ok && now.Sub(last.receivedAt) < f.cfg.ReorderWindow && int32(m.Seq-last.message.Seq) <= 0 {
 		return false
--- a/coordination/telling/telling_test.go
+++ b/coordination/telling/telling_test.go
@@ -39,7 +39,7 @@
 	for _, id := range w.ids {
 		for _, other := range w.ids {
 			if id != other {
-				w.routers[id].Heard(start, w.message(other, 1))
+				w.routers[id].Receive(start, w.message(other, 1))
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 	if w.dead[to] {
 		return false
 	}
-	if w.routers[to].Heard(now, m) {
+	if w.routers[to].Receive(now, m) {
 		got[[2]string{m.Router, to}]++
 	}
 	return true
@@ -161,7 +161,7 @@
 	f := New(DefaultConfig(), "self", 1)
 	ids := []string{"a", "b", "c", "d", "new"}
 	for _, id := range ids[:4] {
-		f.Heard(start, Message{Router: id, DataCentre: 2, Seq: 1})
+		f.Receive(start, Message{Router: id, DataCentre: 2, Seq: 1})
 	}
 	p := f.Next(start, ids, noDirect)
 	slices.Sort(p.Direct)
@@ -169,7 +169,7 @@
 	c.Check(p.Crossings, qt.HasLen, 0)
 
 	for _, id := range ids[:4] {
-		f.Heard(start, Message{Router: id, DataCentre: 2, Seq: 2, PassesOn: true})
+		f.Receive(start, Message{Router: id, DataCentre: 2, Seq: 2, PassesOn: true})
 	}
 	p = f.Next(start, ids, noDirect)
 	c.Check(p.Direct, qt.DeepEquals, []string{"new"})
@@ -211,21 +211,21 @@
 	c := qt.New(t)
 	f := New(DefaultConfig(), "self", 1)
 	receive := func(after time.Duration, seq uint32) bool {
-		return f.Heard(start.Add(after), Message{Router: "a", DataCentre: 2, Seq: seq})
+		return f.Receive(start.Add(after), Message{Router: "a", DataCentre: 2, Seq: seq})
 	}
 	c.Check(receive(0, 10), qt.IsTrue)
 	c.Check(receive(time.Millisecond, 10), qt.IsFalse)
 	c.Check(receive(2*time.Millisecond, 9), qt.IsFalse)
 	c.Check(receive(3*time.Millisecond, 11), qt.IsTrue)
 	c.Check(receive(2*time.Second, 1), qt.IsTrue)
-	c.Check(f.Heard(start, Message{Router: "b", Seq: 1<<32 - 1}), qt.IsTrue)
-	c.Check(f.Heard(start, Message{Router: "b", Seq: 0}), qt.IsTrue)
+	c.Check(f.Receive(start, Message{Router: "b", Seq: 1<<32 - 1}), qt.IsTrue)
+	c.Check(f.Receive(start, Message{Router: "b", Seq: 0}), qt.IsTrue)
 }
 
 func TestRemovedRoutersAreForgotten(t *testing.T) {
 	c := qt.New(t)
 	f := New(DefaultConfig(), "self", 1)
-	f.Heard(start, Message{Router: "a", DataCentre: 1, Seq: 1})
+	f.Receive(start, Message{Router: "a", DataCentre: 1, Seq: 1})
 	c.Check(f.Neighbour("a"), qt.IsTrue)
 	f.Keep(func(string) bool { return false })
 	c.Check(f.Neighbour("a"), qt.IsFalse)
@@ -261,7 +261,7 @@
 			for i := range size {
 				id := fmt.Sprintf("router-%d", i)
 				ids = append(ids, id)
-				f.Heard(start, Message{Router: id, DataCentre: DataCentre(i % 3), Seq: 1, PassesOn: true})
+				f.Receive(start, Message{Router: id, DataCentre: DataCentre(i % 3), Seq: 1, PassesOn: true})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/protocol/digest/digest.go
+++ b/protocol/digest/digest.go
@@ -69,7 +69,7 @@
 	Revision uint64
 	// DataCentre of the sender, and what it tells its neighbours there.
 	DataCentre telling.DataCentre
-	Rotation   rotation.Word
+	Rotation   rotation.Status
 	// PassesOn tells that the sender passes messages on to its data centre.
 	PassesOn bool
 	Digest   admission.Digest
@@ -184,7 +184,7 @@
 	m.Heard = binary.LittleEndian.Uint32(b[6:])
 	m.Revision = binary.LittleEndian.Uint64(b[10:])
 	m.DataCentre = telling.DataCentre(binary.LittleEndian.Uint32(b[18:]))
-	m.Rotation = rotation.Word{Away: time.Duration(binary.LittleEndian.Uint32(b[22:])) * time.Millisecond, Late: flags&flagLate != 0}
+	m.Rotation = rotation.Status{Away: time.Duration(binary.LittleEndian.Uint32(b[22:])) * time.Millisecond, Late: flags&flagLate != 0}
 	m.PassesOn = flags&flagPassesOn != 0
 	name := int(b[headSize])
 	b = b[headSize+1:]
--- a/transport/callergate/callergate.go
+++ b/transport/callergate/callergate.go
@@ -44,7 +44,7 @@
 func (g *Gate) Wait() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for !g.intake.HasRoom() && !g.intake.Dealing() {
+	for !g.intake.HasRoom() && !g.intake.Limiting() {
 		g.room.Wait()
 	}
 }
@@ -53,14 +53,14 @@
 func (g *Gate) Chooses() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.intake.Dealing()
+	return g.intake.Limiting()
 }
 
 // Takes implements callerconn.Gate.
 func (g *Gate) Takes(from netip.Addr) (decided func(), taken bool) {
 	team := g.teamOf(from)
 	g.mu.Lock()
-	as, taken := g.intake.Takes(time.Now(), team, g.beyond[team])
+	as, taken := g.intake.Admit(time.Now(), team, g.beyond[team])
 	g.mu.Unlock()
 	if !taken {
 		g.closed(team)
@@ -80,9 +80,9 @@
 // holds as many streams as it can. It reports whether the gate began to choose, or ceased.
 func (g *Gate) Observe(now time.Time, late time.Duration, full bool) (changed bool) {
 	g.mu.Lock()
-	before := g.intake.Dealing()
+	before := g.intake.Limiting()
 	g.intake.Observe(now, late, full)
-	dealing := g.intake.Dealing()
+	dealing := g.intake.Limiting()
 	var teams []string
 	if dealing && now.Sub(g.judged) >= judgeEvery {
 		g.judged, teams = now, g.intake.Teams()
--- a/transport/callergate/callergate_test.go
+++ b/transport/callergate/callergate_test.go
@@ -19,7 +19,7 @@
 // teams whose connections it closed.
 func pressed(t *testing.T) (*Gate, *[]string) {
 	cfg := intake.DefaultConfig()
-	cfg.Pressed, cfg.Fewest, cfg.Calm = 8, 8, 8
+	cfg.MaxWindow, cfg.MinWindow, cfg.MaxUndecided = 8, 8, 8
 	var closed []string
 	teams := map[netip.Addr]string{beyondFrom: "beyond", withinFrom: "within"}
 	g := New(cfg, func(from netip.Addr) string { return teams[from] }, func(team string) bool { return team == "beyond" }, func(team string) { closed = append(closed, team) })
@@ -27,7 +27,7 @@
 	_, taken := g.Takes(beyondFrom)
 	qt.Assert(t, taken, qt.IsTrue)
 	for range 10 {
-		now = now.Add(cfg.Every)
+		now = now.Add(cfg.Interval)
 		g.Observe(now, time.Second, false)
 	}
 	qt.Assert(t, g.Chooses(), qt.IsTrue)
@@ -53,7 +53,7 @@
 func TestWaitEndsWithRoom(t *testing.T) {
 	g := New(intake.DefaultConfig(), func(netip.Addr) string { return "" }, func(string) bool { return false }, func(string) {})
 	var decided func()
-	for range intake.DefaultConfig().Calm {
+	for range intake.DefaultConfig().MaxUndecided {
 		decided, _ = g.Takes(withinFrom)
 	}
 	done := make(chan struct{})
--- a/transport/direct/announced.go
+++ b/transport/direct/announced.go
@@ -76,7 +76,7 @@
 	}
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
-	c.r.apply(c.r.roster.Announced(server.ID, server.Incarnation), "said_to", c.meta.ID)
+	c.r.apply(c.r.roster.ShutdownAnnounced(server.ID, server.Incarnation), "said_to", c.meta.ID)
 }
 
 // invalidAnswer notes that what a server said of itself cannot be read.
@@ -91,7 +91,7 @@
 // others. The caller holds mu.
 func (r *Router) leavingServers() []admission.ServerID {
 	var out []admission.ServerID
-	for _, one := range r.roster.Leaving() {
+	for _, one := range r.roster.AnnouncedServers() {
 		out = append(out, admission.NumberOf(one.ID, one.Incarnation))
 	}
 	return out
@@ -101,7 +101,7 @@
 func (r *Router) toldLeaving(router string, servers []admission.ServerID) {
 	for _, number := range servers {
 		if id, incarnation, known := r.admission.Numbered(number); known {
-			r.apply(r.roster.Told(time.Now(), id, incarnation), "said_to", router)
+			r.apply(r.roster.ShutdownReported(time.Now(), id, incarnation), "said_to", router)
 		}
 	}
 }
--- a/transport/direct/follow.go
+++ b/transport/direct/follow.go
@@ -235,7 +235,7 @@
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
 	if sound {
-		f.r.roster.StoreSound()
+		f.r.roster.StoreHealthy()
 	} else {
 		f.r.roster.StoreBack(wallTime(at))
 	}
--- a/transport/direct/hear.go
+++ b/transport/direct/hear.go
@@ -83,7 +83,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	if !r.fleet.Heard(now, telling.Message{Router: m.Router, DataCentre: m.DataCentre, Seq: m.Seq, PassesOn: m.PassesOn}) {
+	if !r.fleet.Receive(now, telling.Message{Router: m.Router, DataCentre: m.DataCentre, Seq: m.Seq, PassesOn: m.PassesOn}) {
 		return
 	}
 	r.admission.Told(now, m.Router, m.Digest)
--- a/transport/direct/knowledge.go
+++ b/transport/direct/knowledge.go
@@ -15,7 +15,7 @@
 
 // knowledge is what this router knows of who leaves. The caller holds mu.
 func (r *Router) knowledge() staleness.Knowledge {
-	k := staleness.Knowledge{StoreAway: r.roster.Away(), Saturated: r.load.saturated.Load()}
+	k := staleness.Knowledge{StoreAway: r.roster.StoreUnavailable(), Saturated: r.load.saturated.Load()}
 	k.Age, k.Known = r.fresh.Age(bootTime())
 	return k
 }
--- a/transport/direct/load.go
+++ b/transport/direct/load.go
@@ -44,21 +44,21 @@
 }
 
 // heard takes what a router of the same data centre told.
-func (l *load) heard(now time.Time, router string, w rotation.Word) {
+func (l *load) heard(now time.Time, router string, w rotation.Status) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rotation.Heard(now, router, w)
+	l.rotation.Receive(now, router, w)
 }
 
 // rotationWord returns what this router tells its neighbours. One that is not ready for
 // another reason than its load is away, and will not return for another one.
-func (r *Router) rotationWord(now time.Time) rotation.Word {
+func (r *Router) rotationWord(now time.Time) rotation.Status {
 	if r.ready() != nil && !r.load.away.Load() {
-		return rotation.Word{Away: time.Millisecond, Late: true}
+		return rotation.Status{Away: time.Millisecond, Late: true}
 	}
 	r.load.mu.Lock()
 	defer r.load.mu.Unlock()
-	return r.load.rotation.Word(now)
+	return r.load.rotation.Status(now)
 }
 
 // rotate takes the state of the processor. It reports whether the router left the
@@ -67,7 +67,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	changed = l.rotation.Observe(now, late, calm)
-	l.away.Store(l.rotation.Away())
+	l.away.Store(l.rotation.OutOfRotation())
 	return changed
 }
 
@@ -123,13 +123,13 @@
 	if r.gate.Observe(now, late, held >= limit.Most()) {
 		r.event("intake", "chooses", r.gate.Chooses(), "lateness", tracker.Mean(), "streams", held, "most", limit.Most())
 	}
-	r.selfCheck(now, !tracker.Calm())
+	r.selfCheck(now, !tracker.OnTime())
 	r.load.most.Store(int64(limit.Most()))
 	if growth := saturation.HeapGrowth(r.load.growth, tracker.Mean()); growth != r.load.growth {
 		r.load.growth = growth
 		debug.SetGCPercent(growth)
 	}
-	if r.load.rotate(now, tracker.Saturated(), tracker.Calm()) {
+	if r.load.rotate(now, tracker.Saturated(), tracker.OnTime()) {
 		r.event("rotation", "away", r.load.away.Load(), "lateness", tracker.Mean())
 	}
 	if changed {
