--- a/coordination/admission/shutdown_fleet_test.go
+++ b/coordination/admission/shutdown_fleet_test.go
@@ -225,7 +225,7 @@
 func (f *simFleet) gossip(m *simRouter) {
 	f.After(f.period, func() { f.gossip(m) })
 	var numbers []ServerID
-	for _, srv := range m.roster.Leaving() {
+	for _, srv := range m.roster.AnnouncedServers() {
 		numbers = append(numbers, NumberOf(srv.ID, srv.Incarnation))
 	}
 	maps.DeleteFunc(m.announcing, func(number ServerID, _ time.Time) bool { return !slices.Contains(numbers, number) })
@@ -247,7 +247,7 @@
 func (f *simFleet) receiveGossip(m *simRouter, numbers []ServerID) {
 	for _, number := range numbers {
 		if id, incarnation, known := m.state.ServerByNumber(number); known {
-			f.apply(m, m.roster.Told(f.Now, id, incarnation))
+			f.apply(m, m.roster.ShutdownReported(f.Now, id, incarnation))
 		}
 	}
 }
@@ -356,7 +356,7 @@
 		if view.shutdownSince.IsZero() {
 			view.shutdownSince = f.Now
 		}
-		f.apply(m, m.roster.Announced(srv.entry.ID, srv.entry.Incarnation))
+		f.apply(m, m.roster.ShutdownAnnounced(srv.entry.ID, srv.entry.Incarnation))
 	}
 	if refuses {
 		requested := f.between(50*time.Millisecond, 4*time.Second)
