--- a/coordination/intake/intake.go
+++ b/coordination/intake/intake.go
@@ -24,9 +24,10 @@
 
 // Config holds the constants of a State.
 type Config struct {
-	// Calm is the number of connections that may be undecided while all are read. Pressed
-	// and Fewest are the bounds of the window while connections are limited. Defaults 64, 16
-	// and 2: a small instance decides on sixteen in about twenty milliseconds.
+	// MaxUndecided is the number of connections that may be undecided while all are read.
+	// MaxWindow and MinWindow are the bounds of the window while connections are limited.
+	// Defaults 64, 16 and 2: a small instance decides on sixteen in about twenty
+	// milliseconds.
 	MaxUndecided int
 	MaxWindow    int
 	MinWindow    int
@@ -39,10 +40,10 @@
 	// Gain is the weight of one observation in the mean lateness. Default 0.3: at one
 	// observation each 25ms a flood is noticed within a tenth of a second.
 	Gain float64
-	// PressureTime is the time for which half of Calm must be in use for connections to be
-	// limited. Default 50ms.
+	// PressureTime is the time for which half of MaxUndecided must be in use for connections
+	// to be limited. Default 50ms.
 	PressureTime time.Duration
-	// Every is the time between two changes of the window. Default 100ms.
+	// Interval is the time between two changes of the window. Default 100ms.
 	Interval time.Duration
 	// MinRate is the number of connections a second that are read even when the router has
 	// as many streams as it can run. Default 20.
@@ -70,11 +71,11 @@
 			err = errors.CombineErrors(err, errors.New(what))
 		}
 	}
-	check(c.MinWindow > 0 && c.MaxWindow >= c.MinWindow && c.MaxUndecided >= c.MaxWindow, "Fewest must be positive, Pressed at least as much, Calm at least that")
+	check(c.MinWindow > 0 && c.MaxWindow >= c.MinWindow && c.MaxUndecided >= c.MaxWindow, "MinWindow must be positive, MaxWindow at least as much, MaxUndecided at least that")
 	check(c.LowLateness > 0 && c.HighLateness > c.LowLateness, "LowLateness must be positive, HighLateness above it")
 	check(c.Gain > 0 && c.Gain <= 1, "Gain must be between 0 and 1")
 	check(c.PressureTime > 0, "PressureTime must be positive")
-	check(c.Interval > 0, "Every must be positive")
+	check(c.Interval > 0, "Interval must be positive")
 	check(c.MinRate > 0, "MinRate must be positive")
 	check(c.QuietTime > 0, "QuietTime must be positive")
 	check(c.MaxTeams > 0, "MaxTeams must be positive")
@@ -102,7 +103,7 @@
 	// activeTeams is the number of teams within their share with recent connections, at
 	// least 1.
 	activeTeams int
-	// pressureSince is since when half of Calm is in use; zero while most is free.
+	// pressureSince is since when half of MaxUndecided is in use; zero while most is free.
 	pressureSince time.Time
 	// lateness is the mean lateness.
 	lateness float64
@@ -121,7 +122,7 @@
 // New returns an intake that reads all connections. The config must be valid.
 func New(cfg Config) *State { return &State{cfg: cfg, teams: make(map[string]*team), activeTeams: 1} }
 
-// Dealing reports whether connections are limited.
+// Limiting reports whether connections are limited.
 func (s *State) Limiting() bool { return s.limiting }
 
 // Undecided returns the number of connections whose request is not decided on.
@@ -138,7 +139,7 @@
 	return s.undecided < s.cfg.MaxUndecided
 }
 
-// Takes reports whether a new connection of the team is to be read, and the name to pass to
+// Admit reports whether a new connection of the team is to be read, and the name to pass to
 // Decided for it. overShare is true if the team got more than its share of the servers'
 // capacity. Callers of unknown teams count as one team.
 func (s *State) Admit(now time.Time, name string, overShare bool) (as string, admitted bool) {
--- a/coordination/intake/intake_test.go
+++ b/coordination/intake/intake_test.go
@@ -11,7 +11,7 @@
 	qt.Check(t, DefaultConfig().Validate(), qt.IsNil)
 	bad := DefaultConfig()
 	bad.MaxWindow, bad.MinRate = 100, 0
-	qt.Check(t, bad.Validate(), qt.ErrorMatches, "(?s).*Pressed.*")
+	qt.Check(t, bad.Validate(), qt.ErrorMatches, "(?s).*MaxWindow.*")
 }
 
 // flow is the connections of a team in a second.
--- a/coordination/roster/announced.go
+++ b/coordination/roster/announced.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Announced records that the incarnation announced its shutdown in an answer to this
-// router. That overrides its entries, earlier and later ones: they may be older than the
-// announcement, and cannot change while the store is unavailable.
+// ShutdownAnnounced records that the incarnation announced its shutdown in an answer to
+// this router. That overrides its entries, earlier and later ones: they may be older than
+// the announcement, and cannot change while the store is unavailable.
 func (r *Roster) ShutdownAnnounced(id string, incarnation Incarnation) []Change {
 	known, drained := r.latest(id)
 	if incarnation < known || incarnation == known && drained {
@@ -34,9 +34,9 @@
 	delete(r.formers, s.ID)
 }
 
-// Told records that another router reported the shutdown of the incarnation. A report
-// counts for a time, longer while it is repeated, and only once: an error of one router
-// must not keep a healthy server idle.
+// ShutdownReported records that another router reported the shutdown of the incarnation. A
+// report counts for a time, longer while it is repeated, and only once: an error of one
+// router must not keep a healthy server idle.
 func (r *Roster) ShutdownReported(now time.Time, id string, incarnation Incarnation) []Change {
 	e := r.entries[id]
 	if e == nil || e.server.Draining || e.server.Incarnation != incarnation {
@@ -71,8 +71,8 @@
 	return changes
 }
 
-// Leaving returns the servers that announced their shutdown to this router and still have
-// an entry, by their ids. This router reports them to the others.
+// AnnouncedServers returns the servers that announced their shutdown to this router and
+// still have an entry, by their ids. This router reports them to the others.
 func (r *Roster) AnnouncedServers() []Server {
 	var out []Server
 	for id := range r.announced {
--- a/coordination/roster/roster.go
+++ b/coordination/roster/roster.go
@@ -105,11 +105,11 @@
 	r.graceEnd = now.Add(r.cfg.ReturnGrace)
 }
 
-// StoreSound records that the store answered other routers throughout: an entry that is
+// StoreHealthy records that the store answered other routers throughout: an entry that is
 // missing now was removed, and did not lapse.
 func (r *Roster) StoreHealthy() { r.storeLost, r.graceEnd = false, time.Time{} }
 
-// Away reports whether the store answers no router, as far as is known.
+// StoreUnavailable reports whether the store answers no router, as far as is known.
 func (r *Roster) StoreUnavailable() bool { return r.storeLost }
 
 // Settling reports whether entries may be missing only because of an outage of the store.
--- a/coordination/rotation/rotation.go
+++ b/coordination/rotation/rotation.go
@@ -65,7 +65,7 @@
 	return err
 }
 
-// Word is what a router sends to its neighbours.
+// Status is what a router sends to its neighbours.
 type Status struct {
 	// Away is for how long the router has been out of rotation; 0: it is in rotation.
 	Away time.Duration
@@ -105,12 +105,12 @@
 
 func (s *State) goneAfter() time.Duration { return max(s.cfg.GoneAfter, 6*s.period) }
 
-// Heard records the status of another router of the data centre.
+// Receive records the status of another router of the data centre.
 func (s *State) Receive(now time.Time, router string, status Status) {
 	s.neighbours[router] = neighbour{status: status, receivedAt: now}
 }
 
-// Word returns what this router sends to its neighbours.
+// Status returns what this router sends to its neighbours.
 func (s *State) Status(now time.Time) Status {
 	status := Status{Late: s.overloaded}
 	if s.out {
@@ -119,7 +119,7 @@
 	return status
 }
 
-// Away reports whether the router is out of rotation.
+// OutOfRotation reports whether the router is out of rotation.
 func (s *State) OutOfRotation() bool { return s.out }
 
 // Observe takes whether the router is overloaded and whether it reads its input on time;
--- a/coordination/saturation/saturation.go
+++ b/coordination/saturation/saturation.go
@@ -60,7 +60,7 @@
 // Saturated reports whether the router is saturated, which lasts until it is on time again.
 func (t *Tracker) Saturated() bool { return t.saturated }
 
-// Calm reports whether input is read without notable delay.
+// OnTime reports whether input is read without notable delay.
 func (t *Tracker) OnTime() bool { return t.mean < float64(t.cfg.Leave) }
 
 // Mean returns the mean lateness.
--- a/coordination/telling/telling.go
+++ b/coordination/telling/telling.go
@@ -98,7 +98,7 @@
 	return &Fleet{cfg: cfg, self: self, own: own, known: make(map[string]received)}
 }
 
-// Heard records a message of another router. It reports false if a later message of that
+// Receive records a message of another router. It reports false if a later message of that
 // router, or the same one by another path, arrived before.
 func (f *Fleet) Receive(now time.Time, m Message) bool {
 	last, ok := f.known[m.Router]
