--- a/coordination/intake/fleet_test.go
+++ b/coordination/intake/fleet_test.go
@@ -80,25 +80,25 @@
 }
 
 type modelRouter struct {
-	id      string
-	number  int
-	centre  int
-	share   float64
-	queue   []attempt
-	budget  time.Duration
-	tracker *saturation.Tracker
-	limit   *saturation.Limit
-	rot     *rotation.State
-	intake  *State
-	streams []stream
-	relayed int
-	misses  int
-	ready   bool
+	id       string
+	number   int
+	centre   int
+	share    float64
+	queue    []attempt
+	budget   time.Duration
+	tracker  *saturation.Tracker
+	limit    *saturation.Limit
+	rotation *rotation.State
+	intake   *State
+	streams  []stream
+	relayed  int
+	misses   int
+	ready    bool
 	// receivedAt is when the router last received messages of the others.
 	receivedAt time.Duration
 	// undecided are decided on once there is processor time again.
 	undecided []string
-	bySize    map[string]int
+	byTeam    map[string]int
 }
 
 type modelFleet struct {
@@ -134,7 +134,7 @@
 		r := &modelRouter{
 			id: fmt.Sprint("r-", i), number: i, centre: i % centres, share: share, ready: true,
 			tracker: saturation.New(saturation.DefaultConfig()), limit: saturation.NewLimit(saturation.DefaultLimitConfig()),
-			rot: rotation.New(rotation.DefaultConfig()), intake: New(DefaultConfig()), bySize: map[string]int{},
+			rotation: rotation.New(rotation.DefaultConfig()), intake: New(DefaultConfig()), byTeam: map[string]int{},
 		}
 		f.routers = append(f.routers, r)
 		f.centres[r.centre] = append(f.centres[r.centre], r)
@@ -256,7 +256,7 @@
 		}
 		r.budget -= time.Duration(float64(cost) * modelStep.Seconds())
 		if f.now >= s.until {
-			r.bySize[s.team]--
+			r.byTeam[s.team]--
 			if s.runsAt != nil {
 				s.runsAt.relayed--
 			}
@@ -303,7 +303,7 @@
 		f.retry(a)
 		return
 	}
-	if !saturation.Admits(r.limit.Most(), len(r.streams), r.bySize[team]) {
+	if !saturation.Admits(r.limit.Most(), len(r.streams), r.byTeam[team]) {
 		f.failed++
 		f.retry(a)
 		return
@@ -324,7 +324,7 @@
 	if f.design.handsOver && r.tracker.Mean() > 10*time.Millisecond {
 		s.runsAt = f.idlest(r)
 	}
-	r.bySize[team]++
+	r.byTeam[team]++
 	r.streams = append(r.streams, s)
 }
 
@@ -359,7 +359,7 @@
 	now := at(f.now)
 	r.limit.Adjust(now, r.tracker.Mean(), len(r.streams))
 	r.intake.Observe(now, late, r.limit.Most() > 0 && len(r.streams) >= r.limit.Most())
-	r.rot.Observe(now, r.tracker.Saturated(), r.tracker.OnTime())
+	r.rotation.Observe(now, r.tracker.Saturated(), r.tracker.OnTime())
 }
 
 func (f *modelFleet) run(span time.Duration, flows []modelFlow) {
@@ -394,7 +394,7 @@
 		for _, r := range all {
 			for _, o := range all {
 				if o != r {
-					r.rot.Receive(at(f.now), o.id, o.rot.Status(at(f.now)))
+					r.rotation.Receive(at(f.now), o.id, o.rotation.Status(at(f.now)))
 				}
 			}
 		}
@@ -404,7 +404,7 @@
 // poll is the balancer's readiness check of the routers.
 func (f *modelFleet) poll() {
 	for _, r := range f.routers {
-		if r.rot.OutOfRotation() {
+		if r.rotation.OutOfRotation() {
 			r.misses++
 		} else {
 			r.misses = 0
--- a/coordination/rotation/rotation.go
+++ b/coordination/rotation/rotation.go
@@ -159,17 +159,17 @@
 // MaxPause, or until too many are out, or until a neighbour must leave that cannot, unless
 // another router that has been out longer can return in its place.
 func (s *State) mayReturn(now time.Time) bool {
-	all, away := s.count(now)
+	all, out := s.count(now)
 	since := now.Sub(s.leftAt)
 	switch {
 	case all <= s.cfg.AloneUpTo:
 		return since >= s.pause
 	case since < s.cfg.MinPause:
 		return false
-	case since >= s.cfg.MaxPause || away >= s.maxOut(all):
+	case since >= s.cfg.MaxPause || out >= s.maxOut(all):
 		return true
 	default:
-		return away+1 >= s.maxOut(all) && s.isNeeded(now) && s.isFirstToReturn(now)
+		return out+1 >= s.maxOut(all) && s.isNeeded(now) && s.isFirstToReturn(now)
 	}
 }
 
