--- a/coordination/internal/virtualtime/virtualtime.go
+++ b/coordination/internal/virtualtime/virtualtime.go
@@ -1,7 +1,9 @@
-// Package virtualtime runs what happens in a model in the order of its times, so that
-// a fleet of hundreds of processes is played in one, alike each time.
+// Package virtualtime is a discrete-event scheduler for simulations: it runs events in the
+// order of their times, so that one process simulates a fleet of hundreds of processes,
+// and repeats the same run each time.
 //
-// The package is pure. Tests of decisions use it.
+// The package is pure: it has no I/O, clock or goroutines. Tests of decision packages use
+// it.
 package virtualtime
 
 import (
@@ -9,52 +11,53 @@
 	"time"
 )
 
-// Queue holds what is to happen. The zero value begins at the zero time.
+// Queue is a queue of scheduled events. The zero value starts at the zero time.
 type Queue struct {
-	// Now is the time of what happens at present.
+	// Now is the current simulated time.
 	Now    time.Time
-	events events
-	order  uint64
+	events eventHeap
+	seq    uint64
 }
 
-// At lets something happen at the time; things of one time happen as they were asked for.
-func (q *Queue) At(at time.Time, do func()) {
-	q.order++
-	heap.Push(&q.events, event{at, q.order, do})
+// At schedules run for the given time. Events of the same time run in the order in which
+// they were scheduled.
+func (q *Queue) At(at time.Time, run func()) {
+	q.seq++
+	heap.Push(&q.events, event{at, q.seq, run})
 }
 
-// After lets something happen later by the duration.
-func (q *Queue) After(d time.Duration, do func()) { q.At(q.Now.Add(d), do) }
+// After schedules run for d after the current simulated time.
+func (q *Queue) After(d time.Duration, run func()) { q.At(q.Now.Add(d), run) }
 
-// RunUntil lets happen all that comes until the end, which is the time then.
+// RunUntil runs all events up to and including end, then sets Now to end.
 func (q *Queue) RunUntil(end time.Time) {
 	for len(q.events) > 0 && !q.events[0].at.After(end) {
 		next := heap.Pop(&q.events).(event)
 		q.Now = next.at
-		next.do()
+		next.run()
 	}
 	q.Now = end
 }
 
-// event is something that is to happen.
+// event is one scheduled call.
 type event struct {
-	at    time.Time
-	order uint64
-	do    func()
+	at  time.Time
+	seq uint64
+	run func()
 }
 
-type events []event
+type eventHeap []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventHeap) Len() int { return len(e) }
+func (e eventHeap) Less(i, j int) bool {
 	if !e[i].at.Equal(e[j].at) {
 		return e[i].at.Before(e[j].at)
 	}
-	return e[i].order < e[j].order
+	return e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventHeap) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventHeap) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
