--- a/coordination/fairshare/level.go
+++ b/coordination/fairshare/level.go
@@ -1,34 +1,32 @@
-// Package fairshare keeps what teams ask for and get of a capacity that they
-// share, over all routers, and tells who is beyond its max-min share.
+// Package fairshare accounts for what teams request and are served of a shared capacity,
+// over all routers, and computes which teams exceed their max-min fair share.
 //
-// The pattern that it answers: a few teams ask for many times their usual and
-// fill the engines, so that small teams wait behind them. Max-min: the
-// capacity is filled up evenly, a team that asks for less than the level gets
-// all it asks for, and the others get the level.
+// It protects small teams when a few teams request many times their usual load and fill
+// the backend servers. In a max-min allocation the capacity is filled evenly: a team that
+// requests less than the level gets all that it requests, and the others get the level.
 //
-// The package is pure.
-//
-// Direct routers use it, through admission.
+// The package is pure: it has no I/O, clock or goroutines. Direct routers use it, through
+// admission.
 package fairshare
 
 import "slices"
 
-// Level returns the greatest amount per team at which all teams together stay
-// within the capacity. It is +Inf when all that is asked fits; that is the
-// case with unlimited, negative or no capacity given, too.
-func Level(asked []float64, capacity float64) float64 {
+// Level returns the max-min fair share level: the greatest amount per team at which all
+// teams together stay within the capacity. It is +Inf when all requests fit, and also when
+// capacity is infinite, negative or zero.
+func Level(requested []float64, capacity float64) float64 {
 	if capacity <= 0 {
 		return unlimited
 	}
-	sorted := slices.Clone(asked)
+	sorted := slices.Clone(requested)
 	slices.Sort(sorted)
-	left := capacity
-	for i, a := range sorted {
-		even := left / float64(len(sorted)-i)
-		if a > even {
+	remaining := capacity
+	for i, amount := range sorted {
+		even := remaining / float64(len(sorted)-i)
+		if amount > even {
 			return even
 		}
-		left -= a
+		remaining -= amount
 	}
 	return unlimited
 }
--- a/coordination/fairshare/meter.go
+++ b/coordination/fairshare/meter.go
@@ -9,141 +9,147 @@
 
 var unlimited = math.Inf(1)
 
-// parts of the window: sums forget what is older than the window by steps of
-// an eighth of it, half a second for the users' four.
-const parts = 8
+// windowSlices is the number of slices of the sliding window. A sum drops old tokens in
+// steps of one slice: half a second with the default window of 4 s.
+const windowSlices = 8
 
-// Use is what a team asked for and got within the window, in tokens.
+// Use is what a team requested within the window, and what of it was sent to backend
+// servers, in tokens.
 type Use struct {
 	Asked, Begun float64
-	// The rates of the last second, in tokens a second, in which a flood shows at once; of
-	// what was asked ThrottledLately was refused only since the team is throttled.
+	// Rates over about the last second, in tokens per second; they show a flood at once.
+	// ThrottledLately is the part of AskedLately that was refused only because the team is
+	// throttled.
 	AskedLately, BegunLately, ThrottledLately float64
 }
 
-// window holds the sums of one team over the last slices.
+// window holds the sums of one team over the latest slices.
 type window struct {
-	asked, begun [parts]float64
-	// turned is the number of the newest slice.
-	turned int64
-	// lately holds the rates of the last second as of latelyAt.
-	lately   Use
-	latelyAt time.Time
-	// mean is the mean size of the team's requests lately, in tokens.
-	mean float64
+	requested, started [windowSlices]float64
+	// newest is the number of the newest slice, counted from the Unix epoch.
+	newest int64
+	// recent holds the rates over the last second as of recentAt.
+	recent   Use
+	recentAt time.Time
+	// meanSize is the moving average of the size of the team's requests, in tokens.
+	meanSize float64
 }
 
-// TeamID names a team in messages between routers.
+// TeamID identifies a team in messages between routers.
 type TeamID uint32
 
 // IDOf returns the id of the team.
 func IDOf(team string) TeamID { return TeamID(xxhash.Sum64String(team)) }
 
-// Meter keeps the use of all teams: its own router's exactly, the others' as
-// they told last. It must be used by one goroutine at a time.
+// Meter keeps the usage of all teams: that of its own router exactly, that of other
+// routers as of their last report. It must be used by one goroutine at a time.
 type Meter struct {
-	width time.Duration
-	own   map[TeamID]*window
-	peers map[string]report
-	// level is kept for a short time, as it changes slowly.
+	sliceWidth time.Duration
+	own        map[TeamID]*window
+	peers      map[string]peerUse
+	// level is the max-min fair share level of the capacity, in tokens. It is kept for
+	// refreshPeriod, since it changes slowly.
 	level float64
-	// served is the level of what all teams together got.
+	// served is the max-min fair share level of what all teams together were served.
 	served  float64
-	leveled time.Time
-	// share is the level of the capacity by the rates of the last second, in tokens a
-	// second.
-	share float64
-	total map[TeamID]Use
-	// late tells that this router reads its input late.
+	updated time.Time
+	// shareRate is the max-min fair share of the capacity by the rates of the last second,
+	// in tokens per second.
+	shareRate float64
+	total     map[TeamID]Use
+	// late is true while this router reads its input late.
 	late bool
 }
 
-// report is what another router told.
-type report struct {
-	at  time.Time
-	use map[TeamID]Use
+// peerUse is the usage that another router reported.
+type peerUse struct {
+	received time.Time
+	use      map[TeamID]Use
 }
 
-// ReportTime is how long another router's word counts: a few times the
-// longest period between two of them.
+// ReportTime is how long a report of another router counts: a few times the longest period
+// between two reports.
 const ReportTime = 2 * time.Second
 
-// deafTime is how long it counts at a router that reads late, which hears nothing
-// whoever speaks.
-const deafTime = 10 * time.Second
+// lateReportTime replaces ReportTime while this router reads its input late: reports then
+// wait unread in its socket buffer, whichever router sends them.
+const lateReportTime = 10 * time.Second
 
-// SetLate tells whether this router reads its input late.
+// SetLate sets whether this router reads its input late.
 func (m *Meter) SetLate(late bool) { m.late = late }
 
-// levelTime is how long a computed level is used. A slice of the window is
-// half a second, so that a tenth of it changes little.
-const levelTime = 50 * time.Millisecond
+// refreshPeriod is how long the computed levels are used. A tenth of the 0.5 s slice of
+// the window changes them little.
+const refreshPeriod = 50 * time.Millisecond
 
-// NewMeter returns a meter of a sliding window.
+// NewMeter returns a meter with a sliding window of the given length.
 func NewMeter(length time.Duration) *Meter {
 	return &Meter{
-		width: length / parts, own: make(map[TeamID]*window), peers: make(map[string]report), total: make(map[TeamID]Use), level: unlimited, served: unlimited, share: unlimited,
+		sliceWidth: length / windowSlices, own: make(map[TeamID]*window), peers: make(map[string]peerUse), total: make(map[TeamID]Use), level: unlimited, served: unlimited, shareRate: unlimited,
 	}
 }
 
-// Ask counts a request of the team, whatever becomes of it.
+// Ask records a request of the team, whether or not it is served.
 func (m *Meter) Ask(now time.Time, team TeamID, tokens float64) {
-	w := m.turn(now, team)
-	w.asked[0] += tokens
-	w.fade(now)
-	w.lately.AskedLately += tokens / latelyTime.Seconds()
-	if w.mean == 0 {
-		w.mean = tokens
+	w := m.advance(now, team)
+	w.requested[0] += tokens
+	w.decay(now)
+	w.recent.AskedLately += tokens / rateTime.Seconds()
+	if w.meanSize == 0 {
+		w.meanSize = tokens
 	}
-	w.mean += meanGain * (tokens - w.mean)
+	w.meanSize += meanSizeGain * (tokens - w.meanSize)
 	u := m.total[team]
 	u.Asked += tokens
 	m.total[team] = u
 }
 
-// meanGain is the weight of one request in the mean size of a team's.
-const meanGain = 0.05
+// meanSizeGain is the weight of one request in the moving average of the sizes of a team's
+// requests.
+const meanSizeGain = 0.05
 
-// AskUnread counts a request of the team that was turned away unread: of the mean size of
-// those that were read, which it returns. A team of which none was asks for what nobody
-// knows.
+// AskUnread records a request of the team that was refused before its body was read. It
+// counts with the mean size of the team's requests that were read, which is returned. If
+// none was read yet, the size is unknown and the request counts 0 tokens.
 func (m *Meter) AskUnread(now time.Time, team TeamID) (tokens float64) {
 	w := m.own[team]
-	if w == nil || w.mean == 0 {
+	if w == nil || w.meanSize == 0 {
 		return 0
 	}
-	m.Ask(now, team, w.mean)
-	return w.mean
+	m.Ask(now, team, w.meanSize)
+	return w.meanSize
 }
 
-// Begin counts a request of the team that was sent to a server.
+// Begin records a request of the team that was sent to a server.
 func (m *Meter) Begin(now time.Time, team TeamID, tokens float64) {
-	w := m.turn(now, team)
-	w.begun[0] += tokens
-	w.fade(now)
-	w.lately.BegunLately += tokens / latelyTime.Seconds()
+	w := m.advance(now, team)
+	w.started[0] += tokens
+	w.decay(now)
+	w.recent.BegunLately += tokens / rateTime.Seconds()
 	u := m.total[team]
 	u.Begun += tokens
 	m.total[team] = u
 }
 
-// Throttled counts a request of the team that was refused only since the team is throttled.
+// Throttled records a request of the team that was refused only because the team is
+// throttled.
 func (m *Meter) Throttled(now time.Time, team TeamID, tokens float64) {
-	w := m.turn(now, team)
-	w.fade(now)
-	w.lately.ThrottledLately += tokens / latelyTime.Seconds()
+	w := m.advance(now, team)
+	w.decay(now)
+	w.recent.ThrottledLately += tokens / rateTime.Seconds()
 }
 
-// Reported takes another router's own use.
+// Reported stores the usage of another router's own requests, which replaces its previous
+// report.
 func (m *Meter) Reported(now time.Time, router string, use map[TeamID]Use) {
-	m.peers[router] = report{at: now, use: use}
+	m.peers[router] = peerUse{received: now, use: use}
 }
 
-// Own returns the use of this router's requests.
+// Own returns the usage of the requests of this router.
 func (m *Meter) Own(now time.Time) map[TeamID]Use {
 	out := make(map[TeamID]Use, len(m.own))
 	for team := range m.own {
-		if u := m.turn(now, team).use(now); u.Asked > 0 || u.Begun > 0 {
+		if u := m.advance(now, team).usage(now); u.Asked > 0 || u.Begun > 0 {
 			out[team] = u
 		} else {
 			delete(m.own, team)
@@ -152,20 +158,20 @@
 	return out
 }
 
-// Standing returns what the team got in the window in relation to its max-min
-// share of the capacity: below 1 it may have more, above 1 it is beyond its
-// share. A flood that began a moment ago is judged by its last second. It is 0 while
-// all that is asked fits.
+// Standing returns the team's standing: what it was served in the window, relative to its
+// max-min share of the capacity. Below 1 it may have more, above 1 it exceeds its share. A
+// flood that started a moment ago is judged by its rate over the last second. The standing
+// is 0 while all requests fit into the capacity.
 func (m *Meter) Standing(now time.Time, team TeamID, capacity float64) float64 {
-	if now.Sub(m.leveled) >= levelTime {
-		m.relevel(now, capacity)
+	if now.Sub(m.updated) >= refreshPeriod {
+		m.refresh(now, capacity)
 	}
-	lately := m.total[team].BegunLately * (parts * m.width).Seconds()
-	return max(m.standing(team, m.level), lately/m.level)
+	recent := m.total[team].BegunLately * (windowSlices * m.sliceWidth).Seconds()
+	return max(m.standing(team, m.level), recent/m.level)
 }
 
-// Level returns the max-min share of the capacity as of the last Standing, in tokens;
-// 0 while all that is asked fits.
+// Level returns the max-min fair share level of the capacity as of the last call of
+// Standing, in tokens; 0 while all requests fit.
 func (m *Meter) Level() float64 {
 	if math.IsInf(m.level, 1) {
 		return 0
@@ -173,28 +179,29 @@
 	return m.level
 }
 
-// Share returns a team's max-min share of the capacity, in tokens a second, by the rates of
-// the last second as of the last Standing; +Inf while all that is asked fits.
-func (m *Meter) Share() float64 { return m.share }
+// Share returns a team's max-min share of the capacity, in tokens per second, by the rates
+// of the last second as of the last call of Standing; +Inf while all requests fit.
+func (m *Meter) Share() float64 { return m.shareRate }
 
-// Leveled returns when Standing summed last what teams ask and get.
-func (m *Meter) Leveled() time.Time { return m.leveled }
+// Leveled returns when Standing last summed the usage of all teams.
+func (m *Meter) Leveled() time.Time { return m.updated }
 
-// Each calls with what each team asked for and got, at all routers, as of the last Standing.
-func (m *Meter) Each(do func(team TeamID, use Use)) {
+// Each calls do for each team with its usage at all routers, as of the last call of
+// Standing.
+func (m *Meter) Each(visit func(team TeamID, use Use)) {
 	for team, use := range m.total {
-		do(team, use)
+		visit(team, use)
 	}
 }
 
-// ServedStanding returns what the team got in relation to its max-min share of
-// what all teams together got, as of the last Standing. It is 0 while nearly all
-// that is asked is served.
+// ServedStanding returns what the team was served relative to its max-min share of what
+// all teams together were served, as of the last call of Standing. It is 0 while nearly
+// all requests are served.
 //
-// The pattern that it answers: engines are full though all that is asked fits into
-// the capacity that the operators name, which holds for the usual mix of prompts
-// only. Then a team that asks for much crowds out one that asks for less: one got
-// 44 % of what it asked for while the largest got eight times as much.
+// It covers the case that backend servers are full although all requests fit into the
+// capacity that the operators configured, which holds for the usual mix of prompts only.
+// Without it, a team with a large load starves one with a smaller load: one team got 44 %
+// of what it requested while the largest team got eight times as much.
 func (m *Meter) ServedStanding(team TeamID) float64 { return m.standing(team, m.served) }
 
 func (m *Meter) standing(team TeamID, level float64) float64 {
@@ -204,23 +211,24 @@
 	return m.total[team].Begun / level
 }
 
-// servedShare is the part of what is asked from which all of it counts as served:
-// single refusals, whose callers come back, tell nothing of full engines.
-const servedShare = 0.95
+// servedFraction is the fraction of the requested tokens from which all of them count as
+// served. A few refused requests, which clients retry, are no sign of full backend
+// servers.
+const servedFraction = 0.95
 
-func (m *Meter) relevel(now time.Time, capacity float64) {
-	m.leveled = now
+func (m *Meter) refresh(now time.Time, capacity float64) {
+	m.updated = now
 	m.total = m.Own(now)
-	most := ReportTime
+	maxAge := ReportTime
 	if m.late {
-		most = deafTime
+		maxAge = lateReportTime
 	}
-	for router, r := range m.peers {
-		if now.Sub(r.at) > most {
+	for router, peer := range m.peers {
+		if now.Sub(peer.received) > maxAge {
 			delete(m.peers, router)
 			continue
 		}
-		for team, u := range r.use {
+		for team, u := range peer.use {
 			t := m.total[team]
 			t.Asked += u.Asked
 			t.Begun += u.Begun
@@ -230,70 +238,70 @@
 			m.total[team] = t
 		}
 	}
-	asked, lately := make([]float64, 0, len(m.total)), make([]float64, 0, len(m.total))
+	requested, recent := make([]float64, 0, len(m.total)), make([]float64, 0, len(m.total))
 	var served float64
 	for _, u := range m.total {
-		asked, lately = append(asked, u.Asked), append(lately, u.AskedLately)
+		requested, recent = append(requested, u.Asked), append(recent, u.AskedLately)
 		served += u.Begun
 	}
-	m.level, m.served = Level(asked, capacity), servedLevel(asked, served)
-	m.share = Level(lately, capacity/(parts*m.width).Seconds())
+	m.level, m.served = Level(requested, capacity), servedLevel(requested, served)
+	m.shareRate = Level(recent, capacity/(windowSlices*m.sliceWidth).Seconds())
 }
 
-// servedLevel is the level of what is served, unlimited while that is nearly all that is
-// asked.
-func servedLevel(asked []float64, served float64) float64 {
-	var all float64
-	for _, a := range asked {
-		all += a
+// servedLevel returns the max-min fair share level of what is served, or unlimited while
+// nearly all requests are served.
+func servedLevel(requested []float64, served float64) float64 {
+	var total float64
+	for _, amount := range requested {
+		total += amount
 	}
-	if served >= servedShare*all {
+	if served >= servedFraction*total {
 		return unlimited
 	}
-	return Level(asked, served)
+	return Level(requested, served)
 }
 
-// turn moves the team's window to the time.
-func (m *Meter) turn(now time.Time, team TeamID) *window {
-	n := now.UnixNano() / int64(m.width)
+// advance moves the team's window to now and returns it.
+func (m *Meter) advance(now time.Time, team TeamID) *window {
+	newest := now.UnixNano() / int64(m.sliceWidth)
 	w := m.own[team]
 	if w == nil {
-		w = &window{turned: n}
+		w = &window{newest: newest}
 		m.own[team] = w
 	}
-	for ; w.turned < n; w.turned++ {
-		if n-w.turned > parts {
-			*w = window{turned: n, mean: w.mean, lately: w.lately, latelyAt: w.latelyAt}
+	for ; w.newest < newest; w.newest++ {
+		if newest-w.newest > windowSlices {
+			*w = window{newest: newest, meanSize: w.meanSize, recent: w.recent, recentAt: w.recentAt}
 			return w
 		}
-		copy(w.asked[1:], w.asked[:])
-		copy(w.begun[1:], w.begun[:])
-		w.asked[0], w.begun[0] = 0, 0
+		copy(w.requested[1:], w.requested[:])
+		copy(w.started[1:], w.started[:])
+		w.requested[0], w.started[0] = 0, 0
 	}
 	return w
 }
 
-// latelyTime is the time over which lately reaches.
-const latelyTime = time.Second
-
-// fade moves the rates of the last second to the time.
-func (w *window) fade(now time.Time) {
-	if since := now.Sub(w.latelyAt); since > 0 {
-		keep := math.Exp(-since.Seconds() / latelyTime.Seconds())
-		w.lately.AskedLately *= keep
-		w.lately.BegunLately *= keep
-		w.lately.ThrottledLately *= keep
-		w.latelyAt = now
+// rateTime is the time constant of the exponentially decaying rates.
+const rateTime = time.Second
+
+// decay moves the rates of the last second to now.
+func (w *window) decay(now time.Time) {
+	if since := now.Sub(w.recentAt); since > 0 {
+		keep := math.Exp(-since.Seconds() / rateTime.Seconds())
+		w.recent.AskedLately *= keep
+		w.recent.BegunLately *= keep
+		w.recent.ThrottledLately *= keep
+		w.recentAt = now
 	}
 }
 
-// use returns what the window holds at the time.
-func (w *window) use(now time.Time) Use {
-	w.fade(now)
-	u := w.lately
-	for i := range w.asked {
-		u.Asked += w.asked[i]
-		u.Begun += w.begun[i]
+// usage returns the sums of the window and the rates at now.
+func (w *window) usage(now time.Time) Use {
+	w.decay(now)
+	u := w.recent
+	for i := range w.requested {
+		u.Asked += w.requested[i]
+		u.Begun += w.started[i]
 	}
 	return u
 }
