--- a/coordination/throttle/account.go
+++ b/coordination/throttle/account.go
@@ -5,113 +5,118 @@
 	"time"
 )
 
-// account is what one team may send at this router.
+// account holds what one team may send at this router.
 type account struct {
-	at time.Time
-	// asked and sent are the tokens of late, throttled or not, and recent those asked for in
-	// a shorter time. told follows asked as late as what other routers tell, usual follows
-	// sent slowly.
-	asked, sent, recent, told, usual float64
-	// throttled tells that its requests count against its rate, which is its part of the
-	// bound here, in tokens a second.
+	updated time.Time
+	// requested and sent are decaying sums of tokens over AverageTime, including throttled
+	// requests; recentRequested is one over ShortAverageTime. reportedRequested follows
+	// requested with the age of the other routers' reports. baseline follows sent slowly.
+	requested, sent, recentRequested, reportedRequested, baseline float64
+	// throttled is true while the team's requests count against rate, which is its share
+	// of the bound at this router, in tokens per second.
 	throttled bool
 	rate      float64
-	// boost is the factor by which it is larger, as other routers do not use theirs.
+	// boost is the factor by which rate is raised because other routers don't use their
+	// shares.
 	boost float64
-	// credit are the tokens that may be sent at once; below 0 the last request was larger.
+	// credit is the number of tokens that may be sent at once. It is below 0 if the last
+	// request was larger than the credit.
 	credit float64
-	// debt are the tokens sent beyond the rate before it was throttled.
+	// debt is the number of tokens sent in excess of the rate before the team was
+	// throttled.
 	debt float64
 }
 
-// settle moves the account to the time.
-func (a *account) settle(now time.Time, cfg Config) {
-	since := now.Sub(a.at).Seconds()
-	if since <= 0 {
+// advance moves the account to now.
+func (a *account) advance(now time.Time, cfg Config) {
+	elapsed := now.Sub(a.updated).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	a.at = now
-	keep := math.Exp(-since / cfg.Lately.Seconds())
-	a.asked *= keep
+	a.updated = now
+	keep := math.Exp(-elapsed / cfg.AverageTime.Seconds())
+	a.requested *= keep
 	a.sent *= keep
-	a.recent *= math.Exp(-since / cfg.Recent.Seconds())
-	a.usual += (a.sent - a.usual) * (1 - math.Exp(-since/cfg.Usual.Seconds()))
-	a.told += (a.asked - a.told) * (1 - math.Exp(-since/cfg.Told.Seconds()))
+	a.recentRequested *= math.Exp(-elapsed / cfg.ShortAverageTime.Seconds())
+	a.baseline += (a.sent - a.baseline) * (1 - math.Exp(-elapsed/cfg.BaselineTime.Seconds()))
+	a.reportedRequested += (a.requested - a.reportedRequested) * (1 - math.Exp(-elapsed/cfg.ReportAge.Seconds()))
 	if !a.throttled {
 		return
 	}
-	earned := a.rate * since
-	repaid := min(cfg.Repay*earned, a.debt)
+	earned := a.rate * elapsed
+	repaid := min(cfg.RepayFraction*earned, a.debt)
 	a.debt -= repaid
-	a.credit = min(a.credit+earned-repaid, a.rate*cfg.Depth.Seconds())
+	a.credit = min(a.credit+earned-repaid, a.rate*cfg.BurstTime.Seconds())
 }
 
-// assign gives the team its part of the fleet's bound: as large as the part of what it asks
-// that comes here.
-func (a *account) assign(t Team, bound float64, isLeast bool, since time.Duration, cfg Config) {
-	throttled := !math.IsInf(bound, 1) && t.Asked >= cfg.Near*bound
+// assign sets the team's rate at this router: its bound over the fleet times the fraction
+// of its requests that arrive here.
+func (a *account) assign(t Team, bound float64, isLeast bool, elapsed time.Duration, cfg Config) {
+	throttled := !math.IsInf(bound, 1) && t.Asked >= cfg.NearFraction*bound
 	if !throttled {
 		a.throttled = false
 		return
 	}
 	if a.throttled {
-		a.follow(t, bound, since, cfg)
+		a.updateBoost(t, bound, elapsed, cfg)
 	} else {
 		a.boost = 1
 	}
-	a.rate = bound * a.part(t, isLeast, cfg) * a.boost
+	a.rate = bound * a.localFraction(t, isLeast, cfg) * a.boost
 	if !a.throttled {
 		a.throttled = true
-		a.open(cfg)
+		a.startThrottling(cfg)
 	}
 	if isLeast {
 		a.debt = 0
 	}
 }
 
-// follow raises the boost while the team gets less than its bound, since what comes to late
-// routers is asked for there and not sent.
-func (a *account) follow(t Team, bound float64, since time.Duration, cfg Config) {
+// updateBoost raises the boost while the team gets less than its bound: lagging routers
+// receive a part of the requests, and so of the rate, but don't send it.
+func (a *account) updateBoost(t Team, bound float64, elapsed time.Duration, cfg Config) {
 	missing := 1 - t.BegunLately/bound
-	if a.debt > 0 || missing > 0 && t.Throttled < boundBy*(t.Asked-t.BegunLately) {
+	if a.debt > 0 || missing > 0 && t.Throttled < throttledFraction*(t.Asked-t.BegunLately) {
 		return
 	}
-	a.boost = min(max(a.boost*math.Exp(missing*since.Seconds()/cfg.Follow.Seconds()), 1), cfg.BoostMost)
+	a.boost = min(max(a.boost*math.Exp(missing*elapsed.Seconds()/cfg.BoostTime.Seconds()), 1), cfg.MaxBoost)
 }
 
-// boundBy is the part of what a team asks for and does not get from which it is the throttle
-// that keeps it from more.
-const boundBy = 0.5
+// throttledFraction is the fraction of a team's unserved requests that must have been
+// refused by the throttle for the throttle to count as what limits the team.
+const throttledFraction = 0.5
 
-// part is the part of what the team asks that comes here, as others know it: with what came
-// here since, a flood that begins would have too much everywhere. But the least served
-// team's callers may have come elsewhere a moment ago, as its routers are late.
-func (a *account) part(t Team, isLeast bool, cfg Config) float64 {
-	lately := cfg.Lately.Seconds()
-	own := a.told / lately
+// localFraction returns the fraction of the team's requests that arrives here, as other
+// routers know it. With the current rate instead, each router would take too large a share
+// when a flood starts. For the least served team the short average counts if it is larger:
+// its routers lag, so its clients may have used other routers a moment ago.
+func (a *account) localFraction(t Team, isLeast bool, cfg Config) float64 {
+	averageSeconds := cfg.AverageTime.Seconds()
+	own := a.reportedRequested / averageSeconds
 	if isLeast {
-		own = max(own, a.recent/cfg.Recent.Seconds())
+		own = max(own, a.recentRequested/cfg.ShortAverageTime.Seconds())
 	}
-	others := max(t.Asked-a.asked/lately, 0)
+	others := max(t.Asked-a.requested/averageSeconds, 0)
 	return own / max(own+others, 1)
 }
 
-// open begins to count. What was sent lately is owed beyond what is usual, which was nobody's
-// loss. A team that owes nothing may send at once.
-func (a *account) open(cfg Config) {
-	saved := a.rate * cfg.Depth.Seconds()
-	a.debt = min(max(a.sent-max(a.usual, saved), 0), a.rate*cfg.Debt.Seconds())
+// startThrottling opens the account. The tokens recently sent beyond the team's baseline
+// become debt; the baseline itself took nothing from other teams. A team without debt may
+// send at once.
+func (a *account) startThrottling(cfg Config) {
+	saved := a.rate * cfg.BurstTime.Seconds()
+	a.debt = min(max(a.sent-max(a.baseline, saved), 0), a.rate*cfg.MaxDebtTime.Seconds())
 	a.credit = 0
 	if a.debt == 0 {
 		a.credit = max(saved, 1)
 	}
 }
 
-// wait is the time until the credit is positive.
-func (a *account) wait(cfg Config) time.Duration {
+// waitTime returns the time until the credit is positive.
+func (a *account) waitTime(cfg Config) time.Duration {
 	rate := a.rate
 	if a.debt > 0 {
-		rate *= 1 - cfg.Repay
+		rate *= 1 - cfg.RepayFraction
 	}
 	if a.credit > 0 || rate <= 0 {
 		return 0
--- a/coordination/throttle/fleet_test.go
+++ b/coordination/throttle/fleet_test.go
@@ -8,149 +8,154 @@
 	"goldcrestport/coordination/fairshare"
 )
 
-// The model of a fleet in virtual time: routers that each count what teams ask and begin
-// there and tell the others, who hear it later; engines that do so many tokens a second and
-// have one queue; teams that ask for their usual and two that flood, one at all routers, one
-// at a few, which can deliver so much; refused callers who come back once.
+// A model of a fleet in virtual time. Routers count what teams request and start there and
+// report it to the others, which receive it after a delay. Backend servers process a
+// number of tokens per second and share one queue. Teams send their usual load, and two
+// flood: one through all routers, one through a few, which can pass on a limited rate
+// only. Refused clients retry once.
 
-// Figures of the model.
+// Parameters of the model.
 const (
-	modelStep    = 10 * time.Millisecond
-	modelWindow  = 4 * time.Second
-	modelTell    = 250 * time.Millisecond
-	modelBudget  = 200 // messages a second that a router sends
-	modelWarm    = 5 * time.Second
-	modelFlood   = 16 * time.Second
-	modelMoves   = 4 * time.Second // in which a narrow flood comes to other routers
-	modelReturns = 0.8             // the part of refused callers who come back
-	modelUsual   = 0.3             // what the usual teams ask for, of the named capacity
-	modelPerSec  = 60_000.0
-	modelLittle  = 10 // usual teams
+	modelStep          = 10 * time.Millisecond
+	modelWindow        = 4 * time.Second
+	modelReportPeriod  = 250 * time.Millisecond
+	modelMessageRate   = 200 // messages per second that a router sends
+	modelWarmUp        = 5 * time.Second
+	modelFloodTime     = 16 * time.Second
+	modelMovePeriod    = 4 * time.Second // period after which a narrow flood arrives at other routers
+	modelRetryFraction = 0.8             // fraction of the refused clients that retry
+	modelUsualLoad     = 0.3             // load of the usual teams, as a fraction of the configured capacity
+	modelRouterRate    = 60_000.0
+	modelUsualTeams    = 10 // number of usual teams
 )
 
-// scene is what a run of the model differs in.
-type scene struct {
+// scenario holds what varies between runs of the model.
+type scenario struct {
 	routers int
-	// delay is the age of another router's word when it is heard.
+	// delay is the age of another router's report when it is received.
 	delay time.Duration
-	// real is what engines do of the named capacity.
+	// real is the real capacity of the backend servers as a fraction of the configured
+	// one.
 	real float64
-	// wide and narrow are what the floods ask for, of the named capacity, and delivers
-	// what the narrow one's routers can pass on, 0 if it comes to all; it begins later by lag, or the wide one
+	// wide and narrow are the loads of the two floods, and delivers is the rate that the
+	// routers of the narrow one can pass on, as fractions of the configured capacity; 0 if
+	// it arrives at all routers. The narrow flood starts later by lag, or the wide one
 	// later by lead.
 	wide, narrow, delivers float64
 	lag, lead              time.Duration
 	seed                   uint64
 }
 
-func (s scene) String() string {
+func (s scenario) String() string {
 	return fmt.Sprintf("%d routers, %v, real %.1f, lag %v, lead %v, seed %d", s.routers, s.delay, s.real, s.lag, s.lead, s.seed)
 }
 
-// flow is what a team's callers send.
-type flow struct {
+// workload is what a team's clients send.
+type workload struct {
 	team    string
 	id      fairshare.TeamID
-	rate    float64 // tokens a second
+	rate    float64 // tokens per second
 	weights []float64
-	// delivers bounds what its routers pass on, in tokens a second; 0: nothing does.
-	delivers, room float64
-	from           time.Duration
-	due            float64
-	perSecond      []float64
-	askedPerSecond []float64
+	// delivers limits what its routers pass on, in tokens per second; 0 for no limit.
+	delivers, budget   float64
+	from               time.Duration
+	backlog            float64
+	sentPerSecond      []float64
+	requestedPerSecond []float64
 }
 
-// router is one of the fleet.
+// router is one router of the fleet.
 type router struct {
-	id      string
-	meter   *fairshare.Meter
-	limiter limiter
-	tells   time.Duration
+	id         string
+	meter      *fairshare.Meter
+	limiter    limiter
+	nextReport time.Duration
 }
 
-// limiter is what designs differ in.
+// limiter is the part in which the designs differ.
 type limiter interface {
-	// admits tells whether a request of the team may be sent, else when to come back.
+	// admits reports whether a request of the team may be sent. If not, after is when to
+	// retry.
 	admits(now time.Time, team fairshare.TeamID) (ok bool, after time.Duration)
-	asked(now time.Time, team fairshare.TeamID, tokens float64)
-	sent(now time.Time, team fairshare.TeamID, tokens float64)
+	recordRequest(now time.Time, team fairshare.TeamID, tokens float64)
+	recordSent(now time.Time, team fairshare.TeamID, tokens float64)
 }
 
-// word is what a router told.
-type word struct {
+// usageReport is a report in transit from a router.
+type usageReport struct {
 	from string
 	at   time.Duration
 	use  map[fairshare.TeamID]fairshare.Use
 }
 
-// again is a caller that comes back.
-type again struct {
-	at     time.Duration
-	flow   *flow
-	tokens float64
+// retry is a refused client's second attempt.
+type retry struct {
+	at       time.Duration
+	workload *workload
+	tokens   float64
 }
 
 type fleet struct {
-	scene    scene
-	rand     *rand.Rand
-	now      time.Duration
-	named    float64
-	queue    float64
-	routers  []*router
-	flows    []*flow
-	words    []word
-	returns  []again
-	period   time.Duration
-	refused  int
-	messages int
+	scenario   scenario
+	rand       *rand.Rand
+	now        time.Duration
+	configured float64
+	queue      float64
+	routers    []*router
+	workloads  []*workload
+	reports    []usageReport
+	retries    []retry
+	period     time.Duration
+	refused    int
+	messages   int
 }
 
-func newFleet(s scene, design func(*router) limiter) *fleet {
-	f := &fleet{scene: s, rand: rand.New(rand.NewPCG(s.seed, 7)), named: modelPerSec * float64(s.routers)}
-	f.period = max(modelTell, time.Duration(s.routers-1)*time.Second/modelBudget)
+func newFleet(s scenario, design func(*router) limiter) *fleet {
+	f := &fleet{scenario: s, rand: rand.New(rand.NewPCG(s.seed, 7)), configured: modelRouterRate * float64(s.routers)}
+	f.period = max(modelReportPeriod, time.Duration(s.routers-1)*time.Second/modelMessageRate)
 	for i := range s.routers {
-		r := &router{id: fmt.Sprint("r-", i), meter: fairshare.NewMeter(modelWindow), tells: time.Duration(f.rand.Int64N(int64(f.period)))}
+		r := &router{id: fmt.Sprint("r-", i), meter: fairshare.NewMeter(modelWindow), nextReport: time.Duration(f.rand.Int64N(int64(f.period)))}
 		r.limiter = design(r)
 		f.routers = append(f.routers, r)
 	}
-	for i := range modelLittle {
-		f.add(&flow{team: fmt.Sprint("usual-", i), rate: modelUsual * f.named / modelLittle}, s.routers)
+	for i := range modelUsualTeams {
+		f.add(&workload{team: fmt.Sprint("usual-", i), rate: modelUsualLoad * f.configured / modelUsualTeams}, s.routers)
 	}
-	f.add(&flow{team: "wide", rate: s.wide * f.named, from: modelWarm + s.lead}, s.routers)
-	over := s.routers
+	f.add(&workload{team: "wide", rate: s.wide * f.configured, from: modelWarmUp + s.lead}, s.routers)
+	count := s.routers
 	if s.delivers > 0 {
-		over = max(s.routers/15, 1)
+		count = max(s.routers/15, 1)
 	}
-	f.add(&flow{team: "narrow", rate: s.narrow * f.named, delivers: s.delivers * f.named, from: modelWarm + s.lag}, over)
+	f.add(&workload{team: "narrow", rate: s.narrow * f.configured, delivers: s.delivers * f.configured, from: modelWarmUp + s.lag}, count)
 	return f
 }
 
-// add spreads a flow over the first routers, unevenly.
-func (f *fleet) add(one *flow, over int) {
-	one.id = fairshare.IDOf(one.team)
-	one.weights = make([]float64, len(f.routers))
+// add spreads a workload over the first routers, unevenly.
+func (f *fleet) add(load *workload, count int) {
+	load.id = fairshare.IDOf(load.team)
+	load.weights = make([]float64, len(f.routers))
 	sum := 0.0
-	for i := range over {
-		one.weights[i] = 0.2 + f.rand.Float64()
-		sum += one.weights[i]
+	for i := range count {
+		load.weights[i] = 0.2 + f.rand.Float64()
+		sum += load.weights[i]
 	}
-	for i := range one.weights {
-		one.weights[i] /= sum
+	for i := range load.weights {
+		load.weights[i] /= sum
 	}
-	f.flows = append(f.flows, one)
+	f.workloads = append(f.workloads, load)
 }
 
-// move lets a flow come to the next routers: those that it came to have left the rotation.
-func (f *fleet) move(one *flow) {
-	n := len(one.weights)
-	over := max(n/15, 1)
-	one.weights = append(one.weights[n-over:], one.weights[:n-over]...)
+// move sends a workload to the next routers, as when its present ones have left the
+// rotation.
+func (f *fleet) move(load *workload) {
+	n := len(load.weights)
+	count := max(n/15, 1)
+	load.weights = append(load.weights[n-count:], load.weights[:n-count]...)
 }
 
 func (f *fleet) clock() time.Time { return time.Unix(1000, 0).Add(f.now) }
 
-// size of a request: few are large.
+// size draws the size of a request; few are large.
 func (f *fleet) size() float64 {
 	base := 1400.0
 	switch p := f.rand.Float64(); {
@@ -166,34 +171,34 @@
 const meanSize = 0.15*12000 + 0.25*2400 + 0.6*1400
 
 func (f *fleet) run() {
-	for ; f.now < modelWarm+modelFlood; f.now += modelStep {
-		f.queue = max(f.queue-f.scene.real*f.named*modelStep.Seconds(), 0)
-		f.hear()
-		for _, one := range f.flows {
-			f.ask(one)
+	for ; f.now < modelWarmUp+modelFloodTime; f.now += modelStep {
+		f.queue = max(f.queue-f.scenario.real*f.configured*modelStep.Seconds(), 0)
+		f.receiveReports()
+		for _, load := range f.workloads {
+			f.arrive(load)
 		}
-		f.comeBack()
-		f.tell()
+		f.retryDue()
+		f.sendReports()
 	}
 }
 
-func (f *fleet) ask(one *flow) {
-	if f.now < one.from {
+func (f *fleet) arrive(load *workload) {
+	if f.now < load.from {
 		return
 	}
-	if one.delivers > 0 && f.now%modelMoves == 0 {
-		f.move(one)
+	if load.delivers > 0 && f.now%modelMovePeriod == 0 {
+		f.move(load)
 	}
-	one.room = min(one.room+one.delivers*modelStep.Seconds(), one.delivers/10)
-	for one.due += one.rate * modelStep.Seconds() / meanSize * (0.5 + f.rand.Float64()); one.due >= 1; one.due-- {
-		f.try(one, f.size(), false)
+	load.budget = min(load.budget+load.delivers*modelStep.Seconds(), load.delivers/10)
+	for load.backlog += load.rate * modelStep.Seconds() / meanSize * (0.5 + f.rand.Float64()); load.backlog >= 1; load.backlog-- {
+		f.attempt(load, f.size(), false)
 	}
 }
 
-// pick chooses the router that the balancer takes.
-func (f *fleet) pick(one *flow) *router {
+// pick chooses a router as a load balancer does.
+func (f *fleet) pick(load *workload) *router {
 	at := f.rand.Float64()
-	for i, w := range one.weights {
+	for i, w := range load.weights {
 		if at -= w; at < 0 {
 			return f.routers[i]
 		}
@@ -201,60 +206,60 @@
 	return f.routers[0]
 }
 
-func (f *fleet) try(one *flow, tokens float64, returned bool) {
-	r, now := f.pick(one), f.clock()
-	r.meter.Ask(now, one.id, tokens)
-	r.limiter.asked(now, one.id, tokens)
-	count(&one.askedPerSecond, f.now, tokens)
-	standing := r.meter.Standing(now, one.id, f.named*modelWindow.Seconds())
+func (f *fleet) attempt(load *workload, tokens float64, isRetry bool) {
+	r, now := f.pick(load), f.clock()
+	r.meter.Ask(now, load.id, tokens)
+	r.limiter.recordRequest(now, load.id, tokens)
+	addToSecond(&load.requestedPerSecond, f.now, tokens)
+	standing := r.meter.Standing(now, load.id, f.configured*modelWindow.Seconds())
 	ok, after := true, 50*time.Millisecond
 	switch {
-	case one.delivers > 0 && one.room < 0:
+	case load.delivers > 0 && load.budget < 0:
 		ok = false
-	case f.queue/(f.scene.real*f.named) > patience(standing)*evened(standing, r.meter.ServedStanding(one.id)):
+	case f.queue/(f.scenario.real*f.configured) > maxWait(standing)*servedFactor(standing, r.meter.ServedStanding(load.id)):
 		ok = false
 	default:
-		if ok, after = r.limiter.admits(now, one.id); !ok {
-			r.meter.Throttled(now, one.id, tokens)
+		if ok, after = r.limiter.admits(now, load.id); !ok {
+			r.meter.Throttled(now, load.id, tokens)
 		}
 	}
 	if !ok {
 		f.refused++
-		if !returned && f.rand.Float64() < modelReturns {
-			f.returns = append(f.returns, again{f.now + after, one, tokens})
+		if !isRetry && f.rand.Float64() < modelRetryFraction {
+			f.retries = append(f.retries, retry{f.now + after, load, tokens})
 		}
 		return
 	}
-	one.room -= tokens
-	r.meter.Begin(now, one.id, tokens)
-	r.limiter.sent(now, one.id, tokens)
+	load.budget -= tokens
+	r.meter.Begin(now, load.id, tokens)
+	r.limiter.recordSent(now, load.id, tokens)
 	f.queue += tokens
-	count(&one.perSecond, f.now, tokens)
+	addToSecond(&load.sentPerSecond, f.now, tokens)
 }
 
-// patience is the admissible wait in seconds.
-func patience(standing float64) float64 {
-	const whole, below, beyond = 0.18, 1.5, 0.2
+// maxWait returns the wait limit for admission in seconds.
+func maxWait(standing float64) float64 {
+	const base, belowFactor, beyondFactor = 0.18, 1.5, 0.2
 	switch {
 	case standing >= 1.3:
-		return whole * beyond * 1.3 / standing
+		return base * beyondFactor * 1.3 / standing
 	case standing > 0.7:
-		return whole * (below + (standing-0.7)/0.6*(beyond-below))
+		return base * (belowFactor + (standing-0.7)/0.6*(beyondFactor-belowFactor))
 	default:
-		return whole * below
+		return base * belowFactor
 	}
 }
 
-// evened is the factor of the patience by which engines that are full below the named
-// capacity serve teams alike.
-func evened(standing, served float64) float64 {
+// servedFactor returns the factor of the wait limit that evens out what teams are served
+// when backend servers are full below the configured capacity.
+func servedFactor(standing, served float64) float64 {
 	if standing > 1 || served <= 1 {
 		return 1
 	}
 	return max(1/(served*served), 0.4)
 }
 
-func count(to *[]float64, now time.Duration, tokens float64) {
+func addToSecond(to *[]float64, now time.Duration, tokens float64) {
 	second := int(now / time.Second)
 	for len(*to) <= second {
 		*to = append(*to, 0)
@@ -262,36 +267,36 @@
 	(*to)[second] += tokens
 }
 
-func (f *fleet) comeBack() {
-	rest := f.returns[:0]
-	due := []again{}
-	for _, a := range f.returns {
+func (f *fleet) retryDue() {
+	later := f.retries[:0]
+	due := []retry{}
+	for _, a := range f.retries {
 		if a.at <= f.now {
 			due = append(due, a)
 		} else {
-			rest = append(rest, a)
+			later = append(later, a)
 		}
 	}
-	f.returns = rest
+	f.retries = later
 	for _, a := range due {
-		f.try(a.flow, a.tokens, true)
+		f.attempt(a.workload, a.tokens, true)
 	}
 }
 
-func (f *fleet) tell() {
+func (f *fleet) sendReports() {
 	for _, r := range f.routers {
-		if f.now >= r.tells {
-			r.tells += f.period
-			f.words = append(f.words, word{r.id, f.now + f.scene.delay, r.meter.Own(f.clock())})
+		if f.now >= r.nextReport {
+			r.nextReport += f.period
+			f.reports = append(f.reports, usageReport{r.id, f.now + f.scenario.delay, r.meter.Own(f.clock())})
 			f.messages += len(f.routers) - 1
 		}
 	}
 }
 
-func (f *fleet) hear() {
-	for len(f.words) > 0 && f.words[0].at <= f.now {
-		w := f.words[0]
-		f.words = f.words[1:]
+func (f *fleet) receiveReports() {
+	for len(f.reports) > 0 && f.reports[0].at <= f.now {
+		w := f.reports[0]
+		f.reports = f.reports[1:]
 		for _, r := range f.routers {
 			if r.id != w.from {
 				r.meter.Reported(f.clock(), w.from, w.use)
--- a/coordination/throttle/outcome_test.go
+++ b/coordination/throttle/outcome_test.go
@@ -5,21 +5,23 @@
 	"time"
 )
 
-// outcome is what a run came to.
+// outcome is the result of a run.
 type outcome struct {
-	// least is the least of what a flood got of the lesser of what it asked and the best
-	// got, over the windows of six seconds.
+	// least is the smallest ratio, over windows of six seconds, of what a flood got to the
+	// lesser of what it requested and what the best served team got.
 	least float64
-	// first is what a flood got in its first second, of its mean in the last eight.
+	// first is what a flood got in its first second, relative to its mean in the last
+	// eight seconds.
 	first float64
-	// swing is the greatest relative difference of one second of the wide flood from its
-	// mean, in the last eight seconds, and over the greatest of two in a row beyond it.
+	// swing is the largest relative deviation of one second of the wide flood from its
+	// mean, in the last eight seconds. over is the largest relative excess over that mean
+	// of two seconds in a row.
 	swing, over float64
-	// used is the part of the engines' tokens that was used in the flood.
+	// used is the fraction of the backend servers' tokens that was used during the flood.
 	used float64
 }
 
-const modelWindowSeconds = 6
+const comparedSeconds = 6
 
 func sum(s []float64, from, to int) float64 {
 	total := 0.0
@@ -29,43 +31,44 @@
 	return total
 }
 
-// ofBest is what a team got of the lesser of what it asked and the best one got.
-func (f *fleet) ofBest(one *flow, from, to int) float64 {
+// ratioToBest returns what a team got relative to the lesser of what it requested and what the
+// best served team got.
+func (f *fleet) ratioToBest(load *workload, from, to int) float64 {
 	best := 0.0
-	for _, other := range f.flows {
-		best = max(best, sum(other.perSecond, from, to))
+	for _, other := range f.workloads {
+		best = max(best, sum(other.sentPerSecond, from, to))
 	}
-	return sum(one.perSecond, from, to) / min(best, sum(one.askedPerSecond, from, to))
+	return sum(load.sentPerSecond, from, to) / min(best, sum(load.requestedPerSecond, from, to))
 }
 
 func (f *fleet) outcome() outcome {
-	wide, narrow := f.flows[len(f.flows)-2], f.flows[len(f.flows)-1]
-	begin, end := int(modelWarm/time.Second), int((modelWarm+modelFlood)/time.Second)
+	wide, narrow := f.workloads[len(f.workloads)-2], f.workloads[len(f.workloads)-1]
+	start, end := int(modelWarmUp/time.Second), int((modelWarmUp+modelFloodTime)/time.Second)
 	o := outcome{least: math.Inf(1)}
-	for _, one := range []*flow{wide, narrow} {
-		for from := int(one.from / time.Second); from+modelWindowSeconds <= end; from++ {
-			o.least = min(o.least, f.ofBest(one, from, from+modelWindowSeconds))
+	for _, load := range []*workload{wide, narrow} {
+		for from := int(load.from / time.Second); from+comparedSeconds <= end; from++ {
+			o.least = min(o.least, f.ratioToBest(load, from, from+comparedSeconds))
 		}
 	}
-	calm := end - 8
-	mean := sum(wide.perSecond, calm, end) / 8
-	starts := int(wide.from / time.Second)
-	o.first = sum(wide.perSecond, starts, starts+1) / mean
-	for i := calm; i < end; i++ {
-		o.swing = max(o.swing, math.Abs(sum(wide.perSecond, i, i+1)/mean-1))
+	settled := end - 8
+	mean := sum(wide.sentPerSecond, settled, end) / 8
+	floodStart := int(wide.from / time.Second)
+	o.first = sum(wide.sentPerSecond, floodStart, floodStart+1) / mean
+	for i := settled; i < end; i++ {
+		o.swing = max(o.swing, math.Abs(sum(wide.sentPerSecond, i, i+1)/mean-1))
 	}
-	for i := max(starts, int(narrow.from/time.Second)) + 1; i+2 <= end; i++ {
-		o.over = max(o.over, sum(wide.perSecond, i, i+2)/2/mean-1)
+	for i := max(floodStart, int(narrow.from/time.Second)) + 1; i+2 <= end; i++ {
+		o.over = max(o.over, sum(wide.sentPerSecond, i, i+2)/2/mean-1)
 	}
-	all := 0.0
-	for _, one := range f.flows {
-		all += sum(one.perSecond, begin, end)
+	total := 0.0
+	for _, load := range f.workloads {
+		total += sum(load.sentPerSecond, start, end)
 	}
-	o.used = all / (f.scene.real * f.named * modelFlood.Seconds())
+	o.used = total / (f.scenario.real * f.configured * modelFloodTime.Seconds())
 	return o
 }
 
-func play(s scene, design func(*router) limiter) outcome {
+func play(s scenario, design func(*router) limiter) outcome {
 	f := newFleet(s, design)
 	f.run()
 	return f.outcome()
--- a/coordination/throttle/throttle.go
+++ b/coordination/throttle/throttle.go
@@ -1,16 +1,20 @@
-// Package throttle bounds the rate at which a router sends the requests of teams that get
+// Package throttle limits the rate at which a router sends the requests of teams that get
 // more than the least served one.
 //
-// The pattern that it answers: two teams ask for many times their shares, and the callers
-// of one come to few routers, which cannot pass on as much. Routers hear of each other's
-// sends after some hundred milliseconds, in which a team can begin as much as its share of
-// seconds: all or nothing, decided alike by all routers on such sums, swings between both.
-// So a team has a rate, the max-min of what is served, which changes smoothly, and each
-// router a part of it, after the part of the team's requests that come to it. What it sends
-// is counted at once against its own part, so that no word of another router is needed
-// between two requests, and what went out before the rate was known is made up for.
+// It covers this case: two teams request many times their shares, and the clients of one
+// reach few routers, which cannot pass on as much. Routers learn of each other's sends
+// after some hundred milliseconds, in which a team can start as much as its share of
+// several seconds. If all routers admitted or refused a whole team on such sums, its
+// service would swing between both extremes.
 //
-// A State is pure. Direct routers use it, through admission.
+// So each team has a rate, the max-min share of what is served, which changes smoothly.
+// Each router gets a share of that rate in proportion to the fraction of the team's
+// requests that arrive there. A router counts what it sends against its own share at once
+// and needs no report from other routers between two requests. What a team sent in excess
+// before its rate was known is repaid later.
+//
+// A State is pure: it has no I/O, clock or goroutines. Direct routers use it, through
+// admission.
 package throttle
 
 import (
@@ -20,224 +24,233 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config holds the constants of a State.
+// Config holds the parameters of a State.
 type Config struct {
-	// Ahead is the factor of the least served team's rate up to which others get more.
+	// LeadFactor times the rate of the least served team is what other teams may get.
 	// Default 1.35.
-	Ahead float64
-	// Share is the factor of a team's max-min share up to which nobody is throttled.
-	// Default 1.
-	Share float64
-	// Unmet is the part of what it asks for below which a team asks for more than it
-	// gets. Default 0.7.
-	Unmet float64
-	// Near is the part of the bound that a team asks for from which its requests are
-	// counted against it: a smaller one's may come to other routers than before. Default
-	// 0.8.
-	Near float64
-	// Depth is the time for which a router saves up what a team does not use of its rate.
-	// Default 250ms.
-	Depth time.Duration
-	// Lately is the time over which a router counts what a team asks of it and what it
-	// sends, Recent that for the least served team's asking. Defaults 1s and 300ms.
-	Lately time.Duration
-	Recent time.Duration
-	// Usual is the time over which it averages what it sends. Default 4s.
-	Usual time.Duration
-	// Told is the mean age of what other routers tell. Default 300ms.
-	Told time.Duration
-	// Repay is the part of its rate that a team loses until what it had sent beyond that
-	// is made up for, Debt the most that is made up for, as time at its rate. Defaults
-	// 0.4 and 3s.
-	Repay float64
-	Debt  time.Duration
-	// Follow is the time in which routers raise their parts of a team's rate of which the
-	// others leave a part, and BoostMost the greatest factor. Defaults 2s and 2.
-	Follow    time.Duration
-	BoostMost float64
-	// Fall and Rise are the times in which the bound changes by a factor of e, down and
-	// up. Defaults 200ms and 1s.
-	Fall time.Duration
-	Rise time.Duration
+	LeadFactor float64
+	// ShareFactor times a team's max-min share is the rate up to which no team is
+	// throttled. Default 1.
+	ShareFactor float64
+	// UnmetFraction is the served fraction of a team's requests below which the team
+	// counts as underserved. Default 0.7.
+	UnmetFraction float64
+	// NearFraction is the fraction of the bound that a team must request before its
+	// requests count against the bound. The requests of a smaller team may arrive at other
+	// routers than before. Default 0.8.
+	NearFraction float64
+	// BurstTime is the depth of the token bucket: for how long a router saves up the part
+	// of a team's rate that is not used. Default 250ms.
+	BurstTime time.Duration
+	// AverageTime is the time constant of a router's averages of what a team requests and
+	// what it sends for it, ShortAverageTime that for the requests of the least served
+	// team. Defaults 1s and 300ms.
+	AverageTime      time.Duration
+	ShortAverageTime time.Duration
+	// BaselineTime is the time constant of the slow average of what a router sends for a
+	// team. Default 4s.
+	BaselineTime time.Duration
+	// ReportAge is the mean age of the other routers' reports. Default 300ms.
+	ReportAge time.Duration
+	// RepayFraction is the fraction of its rate that a team loses until it has repaid what
+	// it sent in excess. MaxDebtTime bounds what is repaid, as time at the team's rate.
+	// Defaults 0.4 and 3s.
+	RepayFraction float64
+	MaxDebtTime   time.Duration
+	// BoostTime is the time constant with which routers raise their shares of a team's
+	// rate while other routers leave part of theirs unused, MaxBoost the largest factor.
+	// Defaults 2s and 2.
+	BoostTime time.Duration
+	MaxBoost  float64
+	// FallTime and RiseTime are the times in which the bound falls or rises by a factor of
+	// e. Defaults 200ms and 1s.
+	FallTime time.Duration
+	RiseTime time.Duration
 }
 
 // DefaultConfig returns the documented defaults.
 func DefaultConfig() Config {
 	return Config{
-		Ahead: 1.35, Share: 1, Unmet: 0.7, Near: 0.8, Depth: 250 * time.Millisecond,
-		Recent: 300 * time.Millisecond, Told: 300 * time.Millisecond, Lately: time.Second, Usual: 4 * time.Second, Repay: 0.4, Debt: 3 * time.Second,
-		Follow: 2 * time.Second, BoostMost: 2, Fall: 200 * time.Millisecond, Rise: time.Second,
+		LeadFactor: 1.35, ShareFactor: 1, UnmetFraction: 0.7, NearFraction: 0.8, BurstTime: 250 * time.Millisecond,
+		ShortAverageTime: 300 * time.Millisecond, ReportAge: 300 * time.Millisecond, AverageTime: time.Second, BaselineTime: 4 * time.Second, RepayFraction: 0.4, MaxDebtTime: 3 * time.Second,
+		BoostTime: 2 * time.Second, MaxBoost: 2, FallTime: 200 * time.Millisecond, RiseTime: time.Second,
 	}
 }
 
 // Validate returns an error that names each field out of range.
 func (c Config) Validate() error {
 	var err error
-	check := func(ok bool, what string) {
+	check := func(ok bool, problem string) {
 		if !ok {
-			err = errors.CombineErrors(err, errors.New(what))
+			err = errors.CombineErrors(err, errors.New(problem))
 		}
 	}
-	check(c.Ahead >= 1, "Ahead must be at least 1")
-	check(c.Share >= 0, "Share must not be negative")
-	check(c.Unmet > 0 && c.Unmet <= 1, "Unmet must lie in (0, 1]")
-	check(c.Near > 0 && c.Near <= 1, "Near must lie in (0, 1]")
-	check(c.Depth > 0 && c.Recent > 0 && c.Lately > 0 && c.Told > 0 && c.Usual > 0 && c.Debt >= 0, "Depth, Recent, Lately, Told and Usual must be positive, Debt not negative")
-	check(c.Repay >= 0 && c.Repay < 1, "Repay must lie in [0, 1)")
-	check(c.Follow > 0 && c.BoostMost >= 1, "Follow must be positive, BoostMost at least 1")
-	check(c.Fall > 0 && c.Rise > 0, "Fall and Rise must be positive")
+	check(c.LeadFactor >= 1, "LeadFactor must be at least 1")
+	check(c.ShareFactor >= 0, "ShareFactor must not be negative")
+	check(c.UnmetFraction > 0 && c.UnmetFraction <= 1, "UnmetFraction must be in (0, 1]")
+	check(c.NearFraction > 0 && c.NearFraction <= 1, "NearFraction must be in (0, 1]")
+	check(c.BurstTime > 0 && c.ShortAverageTime > 0 && c.AverageTime > 0 && c.ReportAge > 0 && c.BaselineTime > 0 && c.MaxDebtTime >= 0, "BurstTime, ShortAverageTime, AverageTime, ReportAge and BaselineTime must be positive, MaxDebtTime not negative")
+	check(c.RepayFraction >= 0 && c.RepayFraction < 1, "RepayFraction must be in [0, 1)")
+	check(c.BoostTime > 0 && c.MaxBoost >= 1, "BoostTime must be positive, MaxBoost at least 1")
+	check(c.FallTime > 0 && c.RiseTime > 0, "FallTime and RiseTime must be positive")
 	return err
 }
 
-// Team is what a team asks and gets of the whole fleet, in tokens a second.
+// Team is what a team requests and gets from the whole fleet, in tokens per second.
 type Team struct {
-	// Asked is of late, as are BegunLately and Throttled, the part of what it asked that
-	// was refused only since it is throttled.
+	// Asked, BegunLately and Throttled are rates of about the last second. Throttled is
+	// the part of Asked that was refused only because the team is throttled.
 	Asked, BegunLately, Throttled float64
-	// Begun is over the window in which teams are compared.
+	// Begun is the mean over the window in which teams are compared.
 	Begun float64
 }
 
-// rate is what the team gets: a flood that began a moment ago gets much more than its mean.
-func (t Team) rate() float64 { return max(t.Begun, t.BegunLately) }
+// servedRate returns what the team gets: a flood that started a moment ago gets much more
+// than its mean over the window.
+func (t Team) servedRate() float64 { return max(t.Begun, t.BegunLately) }
 
 // State is the throttle of one router. It must be used by one goroutine at a time.
 type State[ID comparable] struct {
 	cfg Config
-	// bound is the rate of the fleet up to which a team may send, in tokens a second;
-	// +Inf for none.
+	// bound is the rate over the whole fleet up to which a team may send, in tokens per
+	// second; +Inf for no limit.
 	bound    float64
 	observed time.Time
 	accounts map[ID]*account
 }
 
-// New returns a throttle that bounds nobody. The config must be valid.
+// New returns a throttle that limits no team. The config must be valid.
 func New[ID comparable](cfg Config) *State[ID] {
 	return &State[ID]{cfg: cfg, bound: math.Inf(1), accounts: make(map[ID]*account)}
 }
 
-// Bound returns the rate of the fleet up to which a team may send, in tokens a second; +Inf
-// for none.
+// Bound returns the rate over the whole fleet up to which a team may send, in tokens per
+// second; +Inf for no limit.
 func (s *State[ID]) Bound() float64 { return s.bound }
 
-// Admits reports whether a request of the team may be sent now, else after which time the
-// next one may.
+// Admits reports whether a request of the team may be sent now. If not, after is the time
+// until the next one may be sent.
 func (s *State[ID]) Admits(now time.Time, team ID) (ok bool, after time.Duration) {
 	a := s.accounts[team]
 	if a == nil || !a.throttled {
 		return true, 0
 	}
-	a.settle(now, s.cfg)
-	return a.credit > 0, a.wait(s.cfg)
+	a.advance(now, s.cfg)
+	return a.credit > 0, a.waitTime(s.cfg)
 }
 
-// Ask counts a request of the team, whatever becomes of it.
+// Ask records a request of the team, whether or not it is sent.
 func (s *State[ID]) Ask(now time.Time, team ID, tokens float64) {
 	a := s.accounts[team]
 	if a == nil {
-		a = &account{at: now}
+		a = &account{updated: now}
 		s.accounts[team] = a
 	}
-	a.settle(now, s.cfg)
-	a.asked += tokens
-	a.recent += tokens
+	a.advance(now, s.cfg)
+	a.requested += tokens
+	a.recentRequested += tokens
 }
 
-// Sent counts a request of the team that was asked for and is sent.
+// Sent records that a request of the team, already recorded by Ask, is sent.
 func (s *State[ID]) Sent(now time.Time, team ID, tokens float64) {
 	a := s.accounts[team]
 	if a == nil {
 		return
 	}
-	a.settle(now, s.cfg)
+	a.advance(now, s.cfg)
 	a.sent += tokens
 	if a.throttled {
 		a.credit -= tokens
 	}
 }
 
-// Observe takes what teams ask and get, and the max-min share of each in tokens a second,
-// +Inf if all that is asked fits. It is to be called several times a second.
+// Observe updates the bound and the teams' rates from what all teams request and get.
+// share is the max-min share of each team in tokens per second, +Inf if all requests fit.
+// It must be called several times per second.
 func (s *State[ID]) Observe(now time.Time, share float64, teams map[ID]Team) {
-	least, second := s.waiting(share, teams)
-	since := now.Sub(s.observed)
+	least, second := s.leastServed(share, teams)
+	elapsed := now.Sub(s.observed)
 	if s.observed.IsZero() {
-		since = 0
+		elapsed = 0
 	}
-	s.follow(now, s.target(share, least), teams)
+	s.updateBound(now, s.targetBound(share, least), teams)
 	s.observed = now
 	for id, a := range s.accounts {
-		a.settle(now, s.cfg)
+		a.advance(now, s.cfg)
 		t, known := teams[id]
-		if !known && a.asked < forgotten {
+		if !known && a.requested < minRequested {
 			delete(s.accounts, id)
 			continue
 		}
 		bound, isLeast := s.bound, least.known && id == least.id
 		if isLeast {
-			bound = max(bound, s.target(share, second))
+			bound = max(bound, s.targetBound(share, second))
 		}
-		a.assign(t, bound, isLeast, since, s.cfg)
+		a.assign(t, bound, isLeast, elapsed, s.cfg)
 	}
 }
 
-// forgotten is what a team asked recently below which it is forgotten, in tokens.
-const forgotten = 1
+// minRequested is the recent requested amount, in tokens, below which the account of an
+// unknown team is deleted.
+const minRequested = 1
 
-// waiter is a team that asks for more than it gets, or none.
-type waiter[ID comparable] struct {
+// underserved is a team that requests more than it gets, or none.
+type underserved[ID comparable] struct {
 	id    ID
 	team  Team
 	known bool
 }
 
-// exceeds reports whether the waiter gets more than the team, or is none.
-func (w waiter[ID]) exceeds(t Team) bool { return !w.known || t.rate() < w.team.rate() }
+// exceeds reports whether u gets more than t or is none.
+func (u underserved[ID]) exceeds(t Team) bool {
+	return !u.known || t.servedRate() < u.team.servedRate()
+}
 
-// waiting returns the two least served teams that ask for their share at least and for more
-// than they get. What a team is throttled by is not what keeps it from more.
-func (s *State[ID]) waiting(share float64, teams map[ID]Team) (least, second waiter[ID]) {
+// leastServed returns the two least served teams among those that request at least their
+// share and more than they get. Requests that only the throttle refused don't count, so
+// that a team isn't underserved because it is throttled.
+func (s *State[ID]) leastServed(share float64, teams map[ID]Team) (least, second underserved[ID]) {
 	for id, t := range teams {
 		switch {
-		case t.Asked < share || t.rate() >= s.cfg.Unmet*(t.Asked-t.Throttled):
+		case t.Asked < share || t.servedRate() >= s.cfg.UnmetFraction*(t.Asked-t.Throttled):
 		case least.exceeds(t):
-			least, second = waiter[ID]{id, t, true}, least
+			least, second = underserved[ID]{id, t, true}, least
 		case second.exceeds(t):
-			second = waiter[ID]{id, t, true}
+			second = underserved[ID]{id, t, true}
 		}
 	}
 	return least, second
 }
 
-// target is the bound that follows from the least served team.
-func (s *State[ID]) target(share float64, least waiter[ID]) float64 {
+// targetBound returns the bound that follows from the least served team.
+func (s *State[ID]) targetBound(share float64, least underserved[ID]) float64 {
 	if !least.known || math.IsInf(share, 1) {
 		return math.Inf(1)
 	}
-	return max(s.cfg.Ahead*least.team.Begun, s.cfg.Share*share)
+	return max(s.cfg.LeadFactor*least.team.Begun, s.cfg.ShareFactor*share)
 }
 
-// follow moves the bound towards the target. One that goes is kept until no team gets as
-// much.
-func (s *State[ID]) follow(now time.Time, target float64, teams map[ID]Team) {
-	since := now.Sub(s.observed).Seconds()
+// updateBound moves the bound towards the target. If the target is no limit, the bound
+// rises until it exceeds what any team requests, and is removed then.
+func (s *State[ID]) updateBound(now time.Time, target float64, teams map[ID]Team) {
+	elapsed := now.Sub(s.observed).Seconds()
 	switch {
 	case math.IsInf(s.bound, 1):
 		s.bound = target
 	case target < s.bound:
-		s.bound = max(target, s.bound*math.Exp(-since/s.cfg.Fall.Seconds()))
+		s.bound = max(target, s.bound*math.Exp(-elapsed/s.cfg.FallTime.Seconds()))
 	default:
-		s.bound = min(target, s.bound*math.Exp(since/s.cfg.Rise.Seconds()))
-		if math.IsInf(target, 1) && s.bound > mostAsked(teams) {
+		s.bound = min(target, s.bound*math.Exp(elapsed/s.cfg.RiseTime.Seconds()))
+		if math.IsInf(target, 1) && s.bound > maxRequested(teams) {
 			s.bound = target
 		}
 	}
 }
 
-func mostAsked[ID comparable](teams map[ID]Team) float64 {
-	most := 0.0
+func maxRequested[ID comparable](teams map[ID]Team) float64 {
+	highest := 0.0
 	for _, t := range teams {
-		most = max(most, t.Asked)
+		highest = max(highest, t.Asked)
 	}
-	return most
+	return highest
 }
--- a/coordination/throttle/throttle_test.go
+++ b/coordination/throttle/throttle_test.go
@@ -10,26 +10,27 @@
 
 var epoch = time.Unix(1000, 0)
 
-// Rates of two teams of which one waits, in tokens a second.
+// Rates of two teams, one of them underserved, in tokens per second, and the size of a
+// request in tokens.
 const (
-	testShare = 10_000
-	testWaits = 9_000
-	testSize  = 100
+	testShare           = 10_000
+	testUnderservedRate = 9_000
+	testSize            = 100
 )
 
-// two are the teams of a fleet of which this router gets all requests.
-func two() map[string]Team {
+// twoTeams returns the teams of a fleet in which this router gets all requests.
+func twoTeams() map[string]Team {
 	return map[string]Team{
 		"ahead": {Asked: 100_000, BegunLately: 30_000, Begun: 30_000},
-		"waits": {Asked: 50_000, BegunLately: testWaits, Begun: testWaits},
+		"waits": {Asked: 50_000, BegunLately: testUnderservedRate, Begun: testUnderservedRate},
 	}
 }
 
-// ask lets a team ask for its rate for a time, and returns what was sent.
-func ask(s *State[string], from time.Time, span time.Duration, team string, teams map[string]Team) (sent float64) {
-	every := time.Duration(testSize / teams[team].Asked * float64(time.Second))
+// run lets a team request its rate for a time and returns the tokens that were sent.
+func run(s *State[string], from time.Time, span time.Duration, team string, teams map[string]Team) (sent float64) {
+	interval := time.Duration(testSize / teams[team].Asked * float64(time.Second))
 	observed := from
-	for now := from; now.Before(from.Add(span)); now = now.Add(every) {
+	for now := from; now.Before(from.Add(span)); now = now.Add(interval) {
 		if now.Sub(observed) >= 50*time.Millisecond {
 			observed = now
 			s.Observe(now, testShare, teams)
@@ -43,68 +44,69 @@
 	return sent
 }
 
-func TestConfigNamesWhatIsWrong(t *testing.T) {
+func TestConfigValidateNamesInvalidFields(t *testing.T) {
 	qt.Check(t, DefaultConfig().Validate(), qt.IsNil)
-	bad := DefaultConfig()
-	bad.Ahead, bad.Repay = 0.5, 1
-	qt.Check(t, bad.Validate(), qt.ErrorMatches, "(?s).*(Ahead|Repay).*")
+	invalid := DefaultConfig()
+	invalid.LeadFactor, invalid.RepayFraction = 0.5, 1
+	qt.Check(t, invalid.Validate(), qt.ErrorMatches, "(?s).*(LeadFactor|RepayFraction).*")
 }
 
-// While nobody waits, and while all that is asked fits, nobody is throttled.
-func TestNobodyIsThrottledWhileNobodyWaits(t *testing.T) {
+// While no team is underserved, or all requests fit, no team is throttled.
+func TestNoTeamIsThrottledWhileNoneIsUnderserved(t *testing.T) {
 	s := New[string](DefaultConfig())
-	teams := two()
-	teams["waits"] = Team{Asked: testWaits, BegunLately: testWaits, Begun: testWaits}
-	qt.Check(t, ask(s, epoch, 4*time.Second, "ahead", teams) >= 390_000, qt.IsTrue)
+	teams := twoTeams()
+	teams["waits"] = Team{Asked: testUnderservedRate, BegunLately: testUnderservedRate, Begun: testUnderservedRate}
+	qt.Check(t, run(s, epoch, 4*time.Second, "ahead", teams) >= 390_000, qt.IsTrue)
 	fits := New[string](DefaultConfig())
-	fits.Observe(epoch, math.Inf(1), two())
+	fits.Observe(epoch, math.Inf(1), twoTeams())
 	qt.Check(t, fits.Bound(), qt.Equals, math.Inf(1))
 }
 
-// A team that is ahead gets its rate, evenly, and the one that waits is not throttled.
-func TestATeamThatIsAheadGetsItsRate(t *testing.T) {
+// A team that gets more than the underserved one is sent evenly at its rate, and the
+// underserved one is not throttled.
+func TestThrottledTeamGetsItsRate(t *testing.T) {
 	s := New[string](DefaultConfig())
-	want := DefaultConfig().Ahead * testWaits
-	ask(s, epoch, 4*time.Second, "ahead", two())
+	want := DefaultConfig().LeadFactor * testUnderservedRate
+	run(s, epoch, 4*time.Second, "ahead", twoTeams())
 	for i := range 4 {
-		sent := ask(s, epoch.Add(time.Duration(4+i)*time.Second), time.Second, "ahead", two())
-		qt.Check(t, sent > 0.9*want && sent < 1.1*want, qt.IsTrue, qt.Commentf("second %d: %.0f of %.0f", i, sent, want))
+		sent := run(s, epoch.Add(time.Duration(4+i)*time.Second), time.Second, "ahead", twoTeams())
+		qt.Check(t, sent > 0.9*want && sent < 1.1*want, qt.IsTrue, qt.Commentf("second %d: got %.0f, want %.0f", i, sent, want))
 	}
-	waits := New[string](DefaultConfig())
-	ask(waits, epoch, time.Second, "waits", two())
-	qt.Check(t, ask(waits, epoch.Add(time.Second), time.Second, "waits", two()) > 30_000, qt.IsTrue)
+	unthrottled := New[string](DefaultConfig())
+	run(unthrottled, epoch, time.Second, "waits", twoTeams())
+	qt.Check(t, run(unthrottled, epoch.Add(time.Second), time.Second, "waits", twoTeams()) > 30_000, qt.IsTrue)
 }
 
-// Guards against a throttle that feeds on itself: teams that only it keeps from more do not
-// count as waiting, so that it ends when nobody else waits.
-func TestAThrottledTeamDoesNotWait(t *testing.T) {
+// Guards against a throttle that sustains itself: teams that only the throttle keeps from
+// more don't count as underserved, so that it ends when no other team is.
+func TestThrottledTeamIsNotUnderserved(t *testing.T) {
 	s := New[string](DefaultConfig())
-	ask(s, epoch, time.Second, "ahead", two())
+	run(s, epoch, time.Second, "ahead", twoTeams())
 	qt.Assert(t, math.IsInf(s.Bound(), 1), qt.IsFalse)
 	teams := map[string]Team{
 		"ahead": {Asked: 100_000, Throttled: 88_000, BegunLately: 12_000, Begun: 12_000},
 		"other": {Asked: 50_000, Throttled: 38_000, BegunLately: 12_000, Begun: 12_000},
 	}
-	ask(s, epoch.Add(time.Second), 3*time.Second, "ahead", teams)
+	run(s, epoch.Add(time.Second), 3*time.Second, "ahead", teams)
 	qt.Check(t, s.Bound(), qt.Equals, math.Inf(1))
 }
 
-// What a flood sent before anybody knew of it is made up for; what is usual is not.
-func TestABurstIsMadeUpFor(t *testing.T) {
-	late := two()
-	late["waits"] = Team{Asked: testWaits, BegunLately: testWaits, Begun: testWaits}
+// What a flood sent before any router knew of it is repaid; the team's baseline is not.
+func TestBurstIsRepaid(t *testing.T) {
+	balanced := twoTeams()
+	balanced["waits"] = Team{Asked: testUnderservedRate, BegunLately: testUnderservedRate, Begun: testUnderservedRate}
 	after := func(before time.Duration) float64 {
 		s := New[string](DefaultConfig())
-		ask(s, epoch, before, "ahead", late)
-		return ask(s, epoch.Add(before), 2*time.Second, "ahead", two())
+		run(s, epoch, before, "ahead", balanced)
+		return run(s, epoch.Add(before), 2*time.Second, "ahead", twoTeams())
 	}
 	burst, usual := after(300*time.Millisecond), after(20*time.Second)
-	qt.Check(t, burst < 0.75*usual, qt.IsTrue, qt.Commentf("%.0f after a burst, %.0f after what is usual", burst, usual))
+	qt.Check(t, burst < 0.75*usual, qt.IsTrue, qt.Commentf("%.0f after a burst, %.0f at the baseline rate", burst, usual))
 }
 
 func BenchmarkAdmits(b *testing.B) {
 	s := New[string](DefaultConfig())
-	ask(s, epoch, time.Second, "ahead", two())
+	run(s, epoch, time.Second, "ahead", twoTeams())
 	now := epoch.Add(time.Second)
 	b.ReportAllocs()
 	for b.Loop() {
