--- a/coordination/share/config.go
+++ b/coordination/share/config.go
@@ -1,10 +1,10 @@
-// Package share decides, at one sidecar, which team is served next on the
-// slots of its backend server, so that the teams' service is in proportion to
-// their shares over the whole pool.
+// Package share decides, at one sidecar, which team is served next on the slots of its
+// backend server, so that the service of the teams over the whole pool is in proportion to
+// their shares.
 //
-// The package is a pure state machine: State.Step takes an event and the time
-// and returns the actions to perform. It has no I/O, clock or goroutines. The
-// driver is transport/sidecar. docs/FAIRNESS.md derives the bound.
+// The package is a pure state machine: State.Step takes an event and the time and returns
+// the actions to perform. It has no I/O, clock or goroutines. The driver is
+// transport/sidecar. docs/FAIRNESS.md derives the bound.
 //
 // Sidecars use it.
 package share
@@ -18,46 +18,45 @@
 	"goldcrestport/state/ledger"
 )
 
-// Policy names a way to choose. Only PolicyPull is meant for use; the others are
+// Policy names a scheduling policy. Only PolicyPull is meant for use; the others are
 // baselines for comparison.
 type Policy string
 
 const (
-	// PolicyPull charges cost while it runs and pulls work for free slots.
+	// PolicyPull charges cost as it accrues and pulls work for free slots.
 	PolicyPull Policy = "pull"
-	// PolicyPullSettle charges the estimate at start and the cost at the end.
+	// PolicyPullSettle charges the estimate at the start and the real cost at the end.
 	PolicyPullSettle Policy = "pull-settle"
-	// PolicyPush runs what routers send in the order of arrival and never declines.
+	// PolicyPush runs what routers send in order of arrival and never declines.
 	PolicyPush Policy = "push"
 )
 
-// Config holds the parameters of the choice.
+// Config holds the parameters of the scheduler.
 type Config struct {
-	// Policy of the choice. Default PolicyPull.
+	// Policy of the scheduler. Default PolicyPull.
 	Policy Policy
-	// Slots is the number of requests that run at once. Default 8.
+	// Slots is the number of requests that run concurrently. Default 8.
 	Slots int
-	// LookAhead is the largest number of requests pulled ahead of a free slot.
-	// Fewer are pulled where runs are long against the pull. Default 1.
+	// LookAhead is the largest number of requests pulled ahead of a free slot. Fewer are
+	// pulled if runs take long compared to the round trip of a pull. Default 1.
 	LookAhead int
-	// DefaultShare of a team that the configuration does not name.
-	// Default 1.
+	// DefaultShare of a team that the configuration does not name. Default 1.
 	DefaultShare float64
-	// PendingWeight is the part of an estimate that counts before its cost is
-	// real, without unit. The whole of it would put teams of long requests
-	// behind for good by what they have under way; none of it lets every free
-	// slot go to one team (docs/FAIRNESS.md). Default 0.3.
+	// PendingWeight is the fraction of an estimate that counts before the cost is real.
+	// With 1, teams of long requests would stay behind permanently because of their
+	// requests in flight; with 0, every free slot could go to one team (docs/FAIRNESS.md).
+	// Default 0.3.
 	PendingWeight float64
-	// PullTimeout is how long a pull may stay unanswered before its slot is
-	// used for another one. Default 250ms.
+	// PullTimeout is how long a pull may stay unanswered before another pull uses its
+	// slot. Default 250ms.
 	PullTimeout time.Duration
-	// DebtMemory is the time in which an idle sidecar forgets most of the
-	// service that teams are ahead of each other. Default 2s.
+	// DebtMemory is the time constant with which an idle sidecar forgets the differences
+	// between the teams' service. Default 2s.
 	DebtMemory time.Duration
-	// RepayFraction bounds the repayment of service that became known late, as
-	// a part of a team's fair rate. Default 0.5.
+	// RepayFraction limits the repayment of service that became known late, as a fraction
+	// of a team's fair rate. Default 0.5.
 	RepayFraction float64
-	// Estimate configures the learnt costs.
+	// Estimate configures the learned costs.
 	Estimate estimate.Config
 	// Ledger configures the counters.
 	Ledger ledger.Config
--- a/coordination/share/event.go
+++ b/coordination/share/event.go
@@ -9,50 +9,50 @@
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Interest is a router's word on a team's waiting work.
+// Interest is a router's message about the queued work of a team.
 type Interest struct {
 	Router string
 	Team   string
-	// Count of requests that wait; 0 withdraws the interest.
+	// Count is the number of queued requests; 0 withdraws the interest.
 	Count int
-	// Oldest is how long the oldest of them has waited.
+	// Oldest is how long the oldest of them has been queued.
 	Oldest time.Duration
 	// Spread is the number of sidecars that see the team.
 	Spread int
 }
 
-// RouterDown is a control stream that ended.
+// RouterDown reports that a router's control stream ended.
 type RouterDown struct{ Router string }
 
-// Offered is an attempt that arrived. Pull is 0 if it was not asked for.
+// Offered is an attempt that arrived. Pull is 0 if no pull requested it.
 type Offered struct {
 	Attempt uint64
 	Pull    uint64
 	Router  string
 	Team    string
-	// Class of the request, by which its cost is estimated; may be empty.
+	// Class of the request, which selects its cost estimate; may be empty.
 	Class string
-	// Estimate is the caller's hint of the cost; 0 for none.
+	// Estimate is the client's hint of the cost; 0 for none.
 	Estimate float64
 }
 
-// PullEmpty is a pull for which the router had nothing.
+// PullEmpty answers a pull for which the router had no request.
 type PullEmpty struct{ Pull uint64 }
 
-// PullFailed is a pull that could not be sent.
+// PullFailed reports a pull that could not be sent.
 type PullFailed struct{ Pull uint64 }
 
-// Progressed tells the cost that a running attempt has had so far.
+// Progressed reports the cost of a running attempt so far.
 type Progressed struct {
 	Attempt uint64
 	Cost    float64
 }
 
-// Ended is an attempt that released its slot, with its final cost.
+// Ended reports that an attempt released its slot, with its final cost.
 type Ended struct {
 	Attempt uint64
 	Cost    float64
-	// Whole tells that the request ran to its end, so its cost is learnt.
+	// Whole is true if the request ran to its end, so that its cost is learned.
 	Whole bool
 }
 
@@ -62,21 +62,21 @@
 // SlotsSet changes the number of slots.
 type SlotsSet struct{ Slots int }
 
-// Heard is a message of another sidecar of the pool.
+// Heard is a message from another sidecar of the pool.
 type Heard struct {
 	Counters []ledger.Counter
-	// Ahead is, per team, how far the other sidecar sees it ahead of the
-	// smallest virtual service; empty if it did not tell.
+	// Ahead is, per team, how far it is ahead of the smallest virtual service at the other
+	// sidecar; empty if the message does not include it.
 	Ahead map[string]float64
 }
 
-// Left stops all new work for good.
+// Left stops all new work permanently.
 type Left struct{}
 
-// Drained stops (or allows again) new work by the configuration.
+// Drained stops new work or allows it again, as the configuration says.
 type Drained struct{ On bool }
 
-// Ticked lets time pass.
+// Ticked advances the time.
 type Ticked struct{}
 
 func (Interest) isEvent()   {}
@@ -99,7 +99,7 @@
 // Start runs an attempt now.
 type Start struct{ Attempt uint64 }
 
-// Decline turns an attempt away; it was not run.
+// Decline rejects an attempt, which was not run.
 type Decline struct{ Attempt uint64 }
 
 // Pull asks a router for one request of a team.
@@ -109,7 +109,7 @@
 	Team   string
 }
 
-// Report tells every router the new room.
+// Report sends the present capacity to every router.
 type Report struct {
 	Slots   int
 	Free    int
--- a/coordination/share/fault_test.go
+++ b/coordination/share/fault_test.go
@@ -9,35 +9,36 @@
 	"goldcrestport/state/ledger"
 )
 
-// told is a pool whose counters are exchanged.
-func told(subset int) scenario {
-	sc := run12(1, 120*time.Second)
+// exchanging is a pool whose sidecars exchange counters.
+func exchanging(subset int) scenario {
+	sc := pool12(1, 120*time.Second)
 	sc.subset, sc.exchange = subset, 2*time.Second
 	return sc
 }
 
-// worstOf runs the scenario with what change does to the fleet, over seeds.
-func worstOf(sc scenario, change func(*fleet, scenario)) float64 {
+// meanWorstGap runs the scenario over several seeds, with a change applied to the fleet,
+// and returns the mean of the worst gaps.
+func meanWorstGap(sc scenario, change func(*fleet, scenario)) float64 {
 	const seeds = 3
 	sum := 0.0
 	for seed := range uint64(seeds) {
 		sc.seed = seed + 1
 		f := newFleet(sc)
 		change(f, sc)
-		f.run(sc.last)
+		f.run(sc.duration)
 		sum += f.worst
 	}
 	return sum / seeds
 }
 
-// Faults may cost some of the gap, but a bounded part of it.
+// Faults may widen the gap, but by a bounded factor.
 func TestGapUnderFaults(t *testing.T) {
-	const most = 2.0
-	sc := told(5)
-	calm := worstOf(sc, func(*fleet, scenario) {})
+	const maxRatio = 2.0
+	sc := exchanging(5)
+	withoutFaults := meanWorstGap(sc, func(*fleet, scenario) {})
 	faults := map[string]func(*fleet, scenario){
 		"4 in 10 exchanges lost": func(f *fleet, _ scenario) {
-			f.cut = func(int, int, time.Time) bool { return f.rng.IntN(10) < 4 }
+			f.partitioned = func(int, int, time.Time) bool { return f.rng.IntN(10) < 4 }
 		},
 		"a third of the sidecars restart": func(f *fleet, sc scenario) {
 			for i := range 4 {
@@ -46,20 +47,20 @@
 		},
 		"no exchange for 10 s": func(f *fleet, _ scenario) {
 			from, to := f.Now.Add(50*time.Second), f.Now.Add(60*time.Second)
-			f.cut = func(_, _ int, now time.Time) bool { return now.After(from) && now.Before(to) }
+			f.partitioned = func(_, _ int, now time.Time) bool { return now.After(from) && now.Before(to) }
 		},
 	}
 	for name, fault := range faults {
-		gap := worstOf(sc, fault)
-		t.Logf("%s: gap %.1f, without %.1f", name, gap, calm)
-		qt.Check(t, gap <= most*calm, qt.IsTrue, qt.Commentf("%s: %.1f against %.1f", name, gap, calm))
+		gap := meanWorstGap(sc, fault)
+		t.Logf("%s: gap %.1f, without faults %.1f", name, gap, withoutFaults)
+		qt.Check(t, gap <= maxRatio*withoutFaults, qt.IsTrue, qt.Commentf("%s: gap %.1f, without faults %.1f", name, gap, withoutFaults))
 	}
 }
 
-// A team that joins late gets what the others get from then on.
-func TestLateTeamIsLevelOverThePool(t *testing.T) {
+// A team that joins late gets as much as the others from then on.
+func TestLateTeamGetsEqualServiceOverThePool(t *testing.T) {
 	for _, subset := range []int{0, 5} {
-		sc := told(subset)
+		sc := exchanging(subset)
 		f := newFleet(sc)
 		f.run(60 * time.Second)
 		before := map[string]float64{}
@@ -68,7 +69,7 @@
 		}
 		f.addTeam("late", 1, 0, f.pick(sc, true), 9)
 		late := f.byName["late"]
-		late.late = true
+		late.joinedLate = true
 		f.run(60 * time.Second)
 		sum := 0.0
 		for _, s := range f.teams[:len(heavyMeans)] {
@@ -79,12 +80,12 @@
 	}
 }
 
-// After a partition, what the other side gave is repaid, but no faster than
-// leaves the team half of its fair rate.
+// After a partition, the service on the other side is repaid, but only so fast that the
+// team keeps half of its fair rate.
 func TestRepaymentAfterPartitionIsCapped(t *testing.T) {
 	c := qt.New(t)
-	o := newOne(1)
-	hear := func(a, b float64) {
+	o := newTestSidecar(1)
+	receive := func(a, b float64) {
 		o.step(Heard{Counters: []ledger.Counter{
 			{Writer: "peer", Incarnation: "1", Team: "a", Served: a},
 			{Writer: "peer", Incarnation: "1", Team: "b", Served: b},
@@ -93,65 +94,65 @@
 	serve := func(last time.Duration) map[string]float64 {
 		got := map[string]float64{}
 		for end := o.now.Add(last); o.now.Before(end); {
-			o.wait(100 * time.Millisecond)
+			o.advanceBy(100 * time.Millisecond)
 			got[o.serve(1)]++
 		}
 		return got
 	}
-	o.want("a", 1e6)
-	o.want("b", 1e6)
-	hear(0, 0)
+	o.queue("a", 1e6)
+	o.queue("b", 1e6)
+	receive(0, 0)
 	serve(60 * time.Second)
-	hear(1000, 0)
-	c.Assert(o.ahead("a", "b") < 5, qt.IsTrue, qt.Commentf("the news is held back"))
+	receive(1000, 0)
+	c.Assert(o.ahead("a", "b") < 5, qt.IsTrue, qt.Commentf("the late update must be deferred"))
 	got := serve(20 * time.Second)
 	c.Assert(got["a"] >= 200*0.5*0.4, qt.IsTrue, qt.Commentf("%v", got))
 	c.Assert(got["a"] <= 200*0.5*0.8, qt.IsTrue, qt.Commentf("repaid too slowly: %v", got))
 }
 
-// A restarted sidecar takes the debts back from a peer.
-func TestRestartTakesDebtsBack(t *testing.T) {
+// A restarted sidecar restores the debts from a peer.
+func TestRestartRestoresDebts(t *testing.T) {
 	c := qt.New(t)
-	o := newOne(1)
-	o.want("a", 100)
-	o.want("b", 100)
+	o := newTestSidecar(1)
+	o.queue("a", 100)
+	o.queue("b", 100)
 	for o.pulls[0].Team != "a" {
 		o.serve(1)
 	}
 	o.serve(300)
 	counters, ahead := o.Standing()
-	fresh := newOne(1)
+	fresh := newTestSidecar(1)
 	fresh.cfg.Ledger.Writer = "fresh"
-	fresh.want("a", 100)
-	fresh.want("b", 100)
+	fresh.queue("a", 100)
+	fresh.queue("b", 100)
 	fresh.step(Heard{Counters: counters, Ahead: ahead})
 	debt := o.ahead("a", "b")
 	c.Assert(debt > 200, qt.IsTrue)
 	c.Assert(fresh.ahead("a", "b") > 0.95*debt, qt.IsTrue, qt.Commentf("%v of %v", fresh.ahead("a", "b"), debt))
 }
 
-// A lift is local: the counters that are exchanged hold what was given only.
-func TestLiftIsNotExchanged(t *testing.T) {
+// An offset is local: the exchanged counters contain only what was served.
+func TestOffsetIsNotExchanged(t *testing.T) {
 	c := qt.New(t)
-	o := newOne(1)
-	o.want("old", 100)
+	o := newTestSidecar(1)
+	o.queue("old", 100)
 	for range 50 {
 		o.serve(10)
 	}
-	o.want("new", 100)
-	given := map[string]float64{}
+	o.queue("new", 100)
+	served := map[string]float64{}
 	for _, k := range o.Counters(10) {
-		given[k.Team] = k.Served
+		served[k.Team] = k.Served
 	}
-	c.Assert(given, qt.DeepEquals, map[string]float64{"old": 500, "new": 0})
+	c.Assert(served, qt.DeepEquals, map[string]float64{"old": 500, "new": 0})
 }
 
-// A bound on the counters of one message delays some and drops none.
-func TestCountersTakeTurns(t *testing.T) {
+// A limit on the counters per message delays some and drops none.
+func TestLimitedCountersRotate(t *testing.T) {
 	c := qt.New(t)
-	o := newOne(1)
+	o := newTestSidecar(1)
 	for _, team := range []string{"a", "b", "c", "d", "e"} {
-		o.want(team, 1)
+		o.queue(team, 1)
 	}
 	seen := map[string]int{}
 	for range 5 {
--- a/coordination/share/figures_test.go
+++ b/coordination/share/figures_test.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// run12 is the pool of the figures: 12 sidecars of 8 slots.
-func run12(seed uint64, last time.Duration) scenario {
-	return scenario{cores: 12, slots: 8, seed: seed, last: last, heavy: heavyMeans, light: 10}
+// pool12 is the pool of the published figures: 12 sidecars with 8 slots each.
+func pool12(seed uint64, last time.Duration) scenario {
+	return scenario{sidecars: 12, slots: 8, seed: seed, duration: last, heavy: heavyMeans, light: 10}
 }
 
-// exact is one chooser over all slots of the pool, on the same arrivals.
+// exact returns one scheduler over all slots of the pool, with the same arrivals.
 func (sc scenario) exact() scenario {
-	sc.slots *= sc.cores
-	sc.cores, sc.subset, sc.exchange = 1, 0, 0
+	sc.slots *= sc.sidecars
+	sc.sidecars, sc.subset, sc.exchange = 1, 0, 0
 	return sc
 }
 
-// averageGap returns the mean over seeds of the worst gap and of the light
-// teams' 95th percentile wait.
+// averageGap returns the mean over seeds of the worst gap and of the 95th percentile of
+// the light teams' waits.
 func averageGap(sc scenario, seeds int) (gap, wait float64) {
 	fleets := make([]*fleet, seeds)
-	var done sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range fleets {
 		sc.seed = uint64(i) + 1
 		fleets[i] = newFleet(sc)
-		done.Go(func() { fleets[i].run(sc.last) })
+		wg.Go(func() { fleets[i].run(sc.duration) })
 	}
-	done.Wait()
+	wg.Wait()
 	for _, f := range fleets {
 		gap += f.worst / float64(seeds)
 		wait += f.lightWait() / float64(seeds)
@@ -37,7 +37,7 @@
 	return gap, wait
 }
 
-// weighted sets how much of an estimate counts before it is real.
+// weighted sets the PendingWeight.
 func (sc scenario) weighted(weight float64) scenario {
 	sc.change = func(cfg *Config) { cfg.PendingWeight = weight }
 	return sc
@@ -48,16 +48,16 @@
 	return sc
 }
 
-func (sc scenario) told(every time.Duration, subset int) scenario {
+func (sc scenario) exchanging(every time.Duration, subset int) scenario {
 	sc.exchange, sc.subset = every, subset
 	return sc
 }
 
 // BenchmarkGap prints the figures of docs/FAIRNESS.md.
 func BenchmarkGap(b *testing.B) {
-	base := run12(0, 120*time.Second)
+	base := pool12(0, 120*time.Second)
 	large := base
-	large.cores = 60
+	large.sidecars = 60
 	cases := []struct {
 		name string
 		sc   scenario
@@ -69,21 +69,21 @@
 		{"exact-settle", base.exact().settling()},
 		{"all-alone", base},
 		{"all-alone-settle", base.settling()},
-		{"all-told-1s", base.told(time.Second, 0)},
-		{"all-told-2s", base.told(2*time.Second, 0)},
-		{"all-told-5s", base.told(5*time.Second, 0)},
-		{"all-told-2s-weight-0", base.told(2*time.Second, 0).weighted(0)},
-		{"all-told-2s-weight-0.1", base.told(2*time.Second, 0).weighted(0.1)},
-		{"all-told-2s-weight-1", base.told(2*time.Second, 0).weighted(1)},
-		{"subset-alone", base.told(0, 5)},
-		{"subset-told-1s", base.told(time.Second, 5)},
-		{"subset-told-2s", base.told(2*time.Second, 5)},
-		{"subset-told-5s", base.told(5*time.Second, 5)},
+		{"all-told-1s", base.exchanging(time.Second, 0)},
+		{"all-told-2s", base.exchanging(2*time.Second, 0)},
+		{"all-told-5s", base.exchanging(5*time.Second, 0)},
+		{"all-told-2s-weight-0", base.exchanging(2*time.Second, 0).weighted(0)},
+		{"all-told-2s-weight-0.1", base.exchanging(2*time.Second, 0).weighted(0.1)},
+		{"all-told-2s-weight-1", base.exchanging(2*time.Second, 0).weighted(1)},
+		{"subset-alone", base.exchanging(0, 5)},
+		{"subset-told-1s", base.exchanging(time.Second, 5)},
+		{"subset-told-2s", base.exchanging(2*time.Second, 5)},
+		{"subset-told-5s", base.exchanging(5*time.Second, 5)},
 		{"60-exact", large.exact()},
-		{"60-all-told-2s", large.told(2*time.Second, 0)},
-		{"60-subset-30-told-2s", large.told(2*time.Second, 30)},
-		{"60-subset-15-told-500ms", large.told(500*time.Millisecond, 15)},
-		{"60-subset-15-told-2s", large.told(2*time.Second, 15)},
+		{"60-all-told-2s", large.exchanging(2*time.Second, 0)},
+		{"60-subset-30-told-2s", large.exchanging(2*time.Second, 30)},
+		{"60-subset-15-told-500ms", large.exchanging(500*time.Millisecond, 15)},
+		{"60-subset-15-told-2s", large.exchanging(2*time.Second, 15)},
 	}
 	const seeds = 4
 	for _, c := range cases {
@@ -97,12 +97,11 @@
 	}
 }
 
-// BenchmarkStep is the time of one event with 2,100 teams, a tenth of them
-// backlogged, and every slot busy: a charge, and the end of a run with the
-// choice and the pull that follow.
+// BenchmarkStep measures one event with 2,100 teams, a tenth of them backlogged, and every
+// slot busy: a charge, and the end of a run with the choice and the pull that follow.
 func BenchmarkStep(b *testing.B) {
 	const teams = 2100
-	o := newOne(16)
+	o := newTestSidecar(16)
 	const running = 1
 	o.next = running
 	o.step(Offered{Attempt: running, Team: "team-1"})
@@ -112,7 +111,7 @@
 		o.step(Offered{Attempt: o.next, Team: team})
 		o.step(Ended{Attempt: o.next, Cost: 1, Whole: true})
 		if i%10 == 0 {
-			o.want(team, 1e9)
+			o.queue(team, 1e9)
 		}
 	}
 	b.Run("charge", func(b *testing.B) {
--- a/coordination/share/fleet_test.go
+++ b/coordination/share/fleet_test.go
@@ -11,63 +11,63 @@
 	"goldcrestport/coordination/internal/virtualtime"
 )
 
-// fleet drives share cores and one arrival generator by a fake clock. A heavy
-// team always has work; a light one has Poisson arrivals.
+// fleet drives the States of several sidecars and one generator of arrivals in simulated
+// time. A heavy team always has work; a light one has Poisson arrivals.
 type fleet struct {
 	virtualtime.Queue
-	cores []*State
+	sidecars []*State
 	// seq numbers the attempts.
 	seq    uint64
-	teams  []*source
-	byName map[string]*source
+	teams  []*testTeam
+	byName map[string]*testTeam
 	runs   map[uint64]*simRun
-	// delay is the one-way time of a message.
+	// delay is the one-way latency of a message.
 	delay time.Duration
 	// exchange is the period of the exchange of counters; 0 for none.
 	exchange time.Duration
-	// rounds holds whom each core exchanges with next.
+	// rounds holds the remaining exchange partners of each sidecar in its present round.
 	rounds map[int][]int
-	// cut reports whether two cores cannot exchange now.
-	cut   func(a, b int, now time.Time) bool
-	rng   *rand.Rand
-	worst float64
-	// after checks the cores after each step.
-	after func(core int)
+	// partitioned reports whether two sidecars cannot exchange now.
+	partitioned func(a, b int, now time.Time) bool
+	rng         *rand.Rand
+	worst       float64
+	// after checks a sidecar after each step.
+	after func(sidecar int)
 }
 
-type source struct {
-	name   string
-	mean   float64
-	share  float64
-	period time.Duration // between arrivals; 0 for always backlogged
-	seen   []int
-	rng    *rand.Rand
-	queue  []time.Time
-	served float64
-	waits  []float64
-	late   bool
+type testTeam struct {
+	name       string
+	mean       float64
+	share      float64
+	period     time.Duration // between arrivals; 0 for always backlogged
+	sidecars   []int
+	rng        *rand.Rand
+	queue      []time.Time
+	served     float64
+	waits      []float64
+	joinedLate bool
 	// fixed overrides the costs.
 	fixed func() float64
 }
 
 type simRun struct {
-	core  int
-	from  *source
-	cost  float64
-	start time.Time
+	sidecar int
+	from    *testTeam
+	cost    float64
+	start   time.Time
 }
 
-// scenario is what a run of the fleet varies.
+// scenario holds what varies between runs of the fleet.
 type scenario struct {
-	cores, slots int
-	subset       int // cores that see a team of less than large mean; 0: all
-	exchange     time.Duration
-	policy       Policy
-	seed         uint64
-	last         time.Duration
-	heavy        []float64
-	light        int
-	change       func(*Config)
+	sidecars, slots int
+	subset          int // number of sidecars that see a small team; 0 for all
+	exchange        time.Duration
+	policy          Policy
+	seed            uint64
+	duration        time.Duration
+	heavy           []float64
+	light           int
+	change          func(*Config)
 }
 
 var heavyMeans = []float64{0.3, 0.6, 1.2, 3, 6, 12}
@@ -76,18 +76,18 @@
 
 func newFleet(sc scenario) *fleet {
 	f := &fleet{
-		Queue:    virtualtime.Queue{Now: time.Unix(0, 0)},
-		byName:   map[string]*source{},
-		runs:     map[uint64]*simRun{},
-		delay:    500 * time.Microsecond,
-		exchange: sc.exchange,
-		rounds:   map[int][]int{},
-		rng:      rand.New(rand.NewPCG(sc.seed, 1)),
-		cut:      func(int, int, time.Time) bool { return false },
-		after:    func(int) {},
+		Queue:       virtualtime.Queue{Now: time.Unix(0, 0)},
+		byName:      map[string]*testTeam{},
+		runs:        map[uint64]*simRun{},
+		delay:       500 * time.Microsecond,
+		exchange:    sc.exchange,
+		rounds:      map[int][]int{},
+		rng:         rand.New(rand.NewPCG(sc.seed, 1)),
+		partitioned: func(int, int, time.Time) bool { return false },
+		after:       func(int) {},
 	}
-	for i := range sc.cores {
-		f.addCore(i, sc)
+	for i := range sc.sidecars {
+		f.addSidecar(i, sc)
 	}
 	for i, mean := range sc.heavy {
 		f.addTeam(fmt.Sprintf("heavy-%d", i), mean, 0, f.pick(sc, i%2 == 0), sc.seed)
@@ -98,19 +98,19 @@
 	return f
 }
 
-func (f *fleet) addCore(i int, sc scenario) {
-	f.cores = append(f.cores, New(coreConfig(i, "1", sc)))
+func (f *fleet) addSidecar(i int, sc scenario) {
+	f.sidecars = append(f.sidecars, New(sidecarConfig(i, "1", sc)))
 	f.After(time.Duration(f.rng.IntN(int(simTick))), func() { f.tick(i) })
 	if f.exchange > 0 {
 		f.After(time.Duration(f.rng.Int64N(int64(f.exchange))), func() { f.gossip(i) })
 	}
 }
 
-// restart replaces a core by one that remembers nothing and asks a peer.
+// restart replaces a sidecar's State by an empty one and restores it from a peer.
 func (f *fleet) restart(i int, sc scenario) {
-	f.cores[i] = New(coreConfig(i, "2", sc))
+	f.sidecars[i] = New(sidecarConfig(i, "2", sc))
 	for id, r := range f.runs {
-		if r.core == i {
+		if r.sidecar == i {
 			if !r.start.IsZero() {
 				r.from.served += f.Now.Sub(r.start).Seconds()
 			}
@@ -118,15 +118,15 @@
 		}
 	}
 	for _, s := range f.teams {
-		if slices.Contains(s.seen, i) && s.period == 0 {
-			f.step(i, Interest{Router: "r", Team: s.name, Count: 1000, Spread: len(s.seen)})
+		if slices.Contains(s.sidecars, i) && s.period == 0 {
+			f.step(i, Interest{Router: "r", Team: s.name, Count: 1000, Spread: len(s.sidecars)})
 		}
 	}
-	counters, ahead := f.cores[(i+1)%len(f.cores)].Standing()
+	counters, ahead := f.sidecars[(i+1)%len(f.sidecars)].Standing()
 	f.step(i, Heard{Counters: counters, Ahead: ahead})
 }
 
-func coreConfig(i int, incarnation string, sc scenario) Config {
+func sidecarConfig(i int, incarnation string, sc scenario) Config {
 	cfg := DefaultConfig()
 	cfg.Slots, cfg.LookAhead, cfg.Seed = sc.slots, 0, sc.seed+uint64(i)
 	if sc.policy != "" {
@@ -139,17 +139,17 @@
 	return cfg
 }
 
-// pick returns the cores that see a team.
-func (f *fleet) pick(sc scenario, small bool) []int {
-	all := f.rng.Perm(sc.cores)
-	if small && sc.subset > 0 {
+// pick returns the sidecars that see a team.
+func (f *fleet) pick(sc scenario, isSmall bool) []int {
+	all := f.rng.Perm(sc.sidecars)
+	if isSmall && sc.subset > 0 {
 		return all[:sc.subset]
 	}
 	return all
 }
 
 func (f *fleet) addTeam(name string, mean float64, period time.Duration, seen []int, seed uint64) {
-	s := &source{name: name, mean: mean, share: 1, period: period, seen: seen}
+	s := &testTeam{name: name, mean: mean, share: 1, period: period, sidecars: seen}
 	s.rng = rand.New(rand.NewPCG(seed, uint64(len(f.teams))+7))
 	f.teams = append(f.teams, s)
 	f.byName[name] = s
@@ -160,8 +160,8 @@
 	f.After(0, func() { f.register(s, 1000) })
 }
 
-// cost is a long-tailed cost with the team's mean, capped at 60.
-func (s *source) cost() float64 {
+// cost draws a long-tailed cost with the team's mean, capped at 60.
+func (s *testTeam) cost() float64 {
 	if s.fixed != nil {
 		return s.fixed()
 	}
@@ -169,16 +169,16 @@
 	return min(60, s.mean*math.Exp(sigma*s.rng.NormFloat64()-sigma*sigma/2))
 }
 
-// run lets the time pass.
-func (f *fleet) run(last time.Duration) { f.RunUntil(f.Now.Add(last)) }
+// run advances the time by the duration.
+func (f *fleet) run(duration time.Duration) { f.RunUntil(f.Now.Add(duration)) }
 
-func (f *fleet) register(s *source, count int) {
-	for _, i := range s.seen {
-		f.step(i, Interest{Router: "r", Team: s.name, Count: count, Spread: len(s.seen)})
+func (f *fleet) register(s *testTeam, count int) {
+	for _, i := range s.sidecars {
+		f.step(i, Interest{Router: "r", Team: s.name, Count: count, Spread: len(s.sidecars)})
 	}
 }
 
-func (f *fleet) arrive(s *source) {
+func (f *fleet) arrive(s *testTeam) {
 	s.queue = append(s.queue, f.Now)
 	if len(s.queue) == 1 {
 		f.register(s, 1)
@@ -187,19 +187,19 @@
 }
 
 func (f *fleet) step(i int, ev Event) {
-	actions := append([]Action(nil), f.cores[i].Step(f.Now, ev)...)
+	actions := append([]Action(nil), f.sidecars[i].Step(f.Now, ev)...)
 	f.after(i)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Pull:
-			f.After(f.delay, func() { f.pulled(i, a) })
+			f.After(f.delay, func() { f.handOver(i, a) })
 		case Start:
 			f.start(i, a.Attempt)
 		}
 	}
 }
 
-func (f *fleet) pulled(i int, p Pull) {
+func (f *fleet) handOver(i int, p Pull) {
 	s := f.byName[p.Team]
 	if s.period > 0 {
 		if len(s.queue) == 0 {
@@ -215,7 +215,7 @@
 	}
 	f.seq++
 	attempt := f.seq
-	f.runs[attempt] = &simRun{core: i, from: s, cost: s.cost()}
+	f.runs[attempt] = &simRun{sidecar: i, from: s, cost: s.cost()}
 	f.After(f.delay, func() {
 		if f.runs[attempt] == nil {
 			return
@@ -240,7 +240,7 @@
 func (f *fleet) tick(i int) {
 	var ids []uint64
 	for id, r := range f.runs {
-		if r.core == i && !r.start.IsZero() {
+		if r.sidecar == i && !r.start.IsZero() {
 			ids = append(ids, id)
 		}
 	}
@@ -255,47 +255,47 @@
 	f.After(simTick, func() { f.tick(i) })
 }
 
-// gap is the largest difference of service per share between always
-// backlogged teams, with what runs counted as far as it ran.
+// gap returns the largest difference of service per share between always backlogged teams,
+// including the cost of running attempts so far.
 func (f *fleet) gap() float64 {
-	given := map[*source]float64{}
+	accrued := map[*testTeam]float64{}
 	for _, r := range f.runs {
 		if !r.start.IsZero() {
-			given[r.from] += f.Now.Sub(r.start).Seconds()
+			accrued[r.from] += f.Now.Sub(r.start).Seconds()
 		}
 	}
 	least, most := math.Inf(1), math.Inf(-1)
 	for _, s := range f.teams {
-		if s.period == 0 && !s.late {
-			v := (s.served + given[s]) / s.share
+		if s.period == 0 && !s.joinedLate {
+			v := (s.served + accrued[s]) / s.share
 			least, most = min(least, v), max(most, v)
 		}
 	}
 	return most - least
 }
 
-// gossip exchanges counters between a core and the next others of its round,
-// as the driver does: three at least, and each once in 6 s.
+// gossip exchanges counters between a sidecar and the next partners of its round, as the
+// driver does: at least three, and each partner once in 6 s.
 func (f *fleet) gossip(i int) {
-	const fewest, round = 3, 6 * time.Second
-	n := max(fewest, int(time.Duration(len(f.cores))*f.exchange/round))
+	const minPartners, roundPeriod = 3, 6 * time.Second
+	n := max(minPartners, int(time.Duration(len(f.sidecars))*f.exchange/roundPeriod))
 	for range n {
 		if len(f.rounds[i]) == 0 {
-			f.rounds[i] = f.rng.Perm(len(f.cores))
+			f.rounds[i] = f.rng.Perm(len(f.sidecars))
 		}
 		j := f.rounds[i][0]
 		f.rounds[i] = f.rounds[i][1:]
-		if j == i || f.cut(i, j, f.Now) {
+		if j == i || f.partitioned(i, j, f.Now) {
 			continue
 		}
-		f.tell(i, j)
-		f.tell(j, i)
+		f.sendCounters(i, j)
+		f.sendCounters(j, i)
 	}
 	f.After(f.exchange, func() { f.gossip(i) })
 }
 
-func (f *fleet) tell(from, to int) {
-	f.step(to, Heard{Counters: f.cores[from].Counters(1000)})
+func (f *fleet) sendCounters(from, to int) {
+	f.step(to, Heard{Counters: f.sidecars[from].Counters(1000)})
 }
 
 // lightWait returns the 95th percentile of the light teams' waits.
--- a/coordination/share/leave_test.go
+++ b/coordination/share/leave_test.go
@@ -9,10 +9,10 @@
 	"goldcrestport/coordination/share"
 )
 
-// What waits for a slot when the backend server is told to leave is declined,
-// and what is offered later too.
-func TestLeavingDeclinesWhatWaits(t *testing.T) {
-	for name, leave := range map[string]share.Event{"drained": share.Drained{On: true}, "left": share.Left{}} {
+// An attempt that waits for a slot is declined when the sidecar is drained or shuts down,
+// and so is one that is offered later.
+func TestDrainingDeclinesWaitingAttempts(t *testing.T) {
+	for name, event := range map[string]share.Event{"drained": share.Drained{On: true}, "left": share.Left{}} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			cfg := share.DefaultConfig()
@@ -33,7 +33,7 @@
 			c.Assert(pulls, qt.HasLen, 2)
 			c.Assert(step(share.Offered{Attempt: 1, Pull: pulls[0], Router: "r", Team: "t"}), qt.Contains, share.Action(share.Start{Attempt: 1}))
 			step(share.Offered{Attempt: 2, Pull: pulls[1], Router: "r", Team: "t"})
-			c.Assert(step(leave), qt.Contains, share.Action(share.Decline{Attempt: 2}))
+			c.Assert(step(event), qt.Contains, share.Action(share.Decline{Attempt: 2}))
 			c.Assert(step(share.Offered{Attempt: 3, Router: "r", Team: "t"}), qt.Contains, share.Action(share.Decline{Attempt: 3}))
 			for _, a := range step(share.Ended{Attempt: 1}) {
 				_, started := a.(share.Start)
--- a/coordination/share/pull.go
+++ b/coordination/share/pull.go
@@ -6,69 +6,70 @@
 	"time"
 )
 
-// mostProbes bounds the pulls that one word of waiting work allows at once.
-const mostProbes = 64
+// maxAssumed limits the queue length that is assumed after the reported one is used up,
+// and so the concurrent pulls that one message allows.
+const maxAssumed = 64
 
-// waiting is what one router said of one team's work.
-type waiting struct {
-	// count is how many requests are thought to wait; 1 at least, since the
-	// router tells at once when none is left.
+// routerQueue is what one router reported about one team's queued work.
+type routerQueue struct {
+	// count is the number of requests that are presumed to be queued. It is at least 1,
+	// since the router reports an empty queue at once.
 	count int
-	// probe doubles with each run-down of count, so that a stale count never
-	// holds up a long queue.
-	probe int
+	// assumed doubles each time that count is used up, so that a stale count never delays
+	// a long queue.
+	assumed int
 	// spread is the number of sidecars that see the work.
 	spread int
-	// oldest is when the oldest waiting request arrived, as far as known.
+	// oldest is when the oldest queued request arrived, as far as known.
 	oldest   time.Time
-	inflight int
+	inFlight int
 }
 
-// open reports whether another pull may be sent.
-func (w *waiting) open() bool { return w.inflight < w.count }
+// allowsPull reports whether another pull may be sent.
+func (q *routerQueue) allowsPull() bool { return q.inFlight < q.count }
 
-// took accounts for one request that the router handed over.
-func (w *waiting) took(now time.Time) {
-	w.oldest = w.oldest.Add(now.Sub(w.oldest) / time.Duration(max(w.count, 1)))
-	w.count--
-	if w.count < 1 {
-		w.probe = min(2*w.probe, mostProbes)
-		w.count = w.probe
+// removeOne accounts for one request that the router handed over.
+func (q *routerQueue) removeOne(now time.Time) {
+	q.oldest = q.oldest.Add(now.Sub(q.oldest) / time.Duration(max(q.count, 1)))
+	q.count--
+	if q.count < 1 {
+		q.assumed = min(2*q.assumed, maxAssumed)
+		q.count = q.assumed
 	}
 }
 
-// pull is a pull that was not answered yet.
+// pull is a pull that has not been answered yet.
 type pull struct {
-	router string
-	team   string
-	sent   time.Time
-	charge float64
+	router   string
+	team     string
+	sent     time.Time
+	estimate float64
 }
 
 func (s *State) interest(now time.Time, ev Interest) {
-	s.heardFrom(ev.Router)
+	s.markResponsive(ev.Router)
 	a := s.account(ev.Team)
 	if ev.Count <= 0 {
-		s.drop(a, ev.Router)
+		s.removeQueue(a, ev.Router)
 		return
 	}
-	if !a.backlogged() {
+	if !a.isBacklogged() {
 		s.raise(a)
 	}
-	w := a.routers[ev.Router]
-	if w == nil {
-		w = &waiting{probe: 1, inflight: s.inflight(ev.Router, ev.Team)}
-		a.routers[ev.Router] = w
+	q := a.routers[ev.Router]
+	if q == nil {
+		q = &routerQueue{assumed: 1, inFlight: s.countInFlight(ev.Router, ev.Team)}
+		a.routers[ev.Router] = q
 		s.backlogged[a.team] = a
 	}
-	w.count = ev.Count
-	w.oldest = now.Add(-ev.Oldest)
-	w.spread = ev.Spread
-	s.keepVirtual(a, a.widen)
+	q.count = ev.Count
+	q.oldest = now.Add(-ev.Oldest)
+	q.spread = ev.Spread
+	s.keepVirtualService(a, a.updateSpread)
 }
 
-// inflight counts the open pulls at the router for the team.
-func (s *State) inflight(router, team string) int {
+// countInFlight returns the number of open pulls at the router for the team.
+func (s *State) countInFlight(router, team string) int {
 	n := 0
 	for _, p := range s.pulls {
 		if p.router == router && p.team == team {
@@ -78,22 +79,22 @@
 	return n
 }
 
-// heardFrom lifts the bar from a router that shows signs of life.
-func (s *State) heardFrom(router string) { delete(s.barred, router) }
+// markResponsive allows pulls from a router again that sent a message.
+func (s *State) markResponsive(router string) { delete(s.unresponsive, router) }
 
 func (s *State) routerDown(router string) {
-	s.heardFrom(router)
+	s.markResponsive(router)
 	for _, a := range s.accounts {
-		s.drop(a, router)
+		s.removeQueue(a, router)
 	}
 	for _, id := range s.openPulls() {
 		if s.pulls[id].router == router {
-			s.takePull(id)
+			s.removePull(id)
 		}
 	}
 }
 
-// openPulls returns the open pulls in the order they were sent.
+// openPulls returns the open pulls in the order in which they were sent.
 func (s *State) openPulls() []uint64 {
 	ids := make([]uint64, 0, len(s.pulls))
 	for id := range s.pulls {
@@ -103,55 +104,54 @@
 	return ids
 }
 
-// takePull forgets an open pull and returns it, or nil if it is not open.
-func (s *State) takePull(id uint64) *pull {
+// removePull removes an open pull and returns it, or nil if it is not open.
+func (s *State) removePull(id uint64) *pull {
 	p := s.pulls[id]
 	if p == nil {
 		return nil
 	}
 	delete(s.pulls, id)
 	a := s.account(p.team)
-	a.pending -= p.charge
-	if w := a.routers[p.router]; w != nil {
-		w.inflight--
+	a.pendingCost -= p.estimate
+	if q := a.routers[p.router]; q != nil {
+		q.inFlight--
 	}
 	return p
 }
 
-// answered closes a pull that the router answered and reports whether it was
-// open.
-func (s *State) answered(now time.Time, id uint64, filled bool) bool {
-	p := s.takePull(id)
+// pullAnswered closes a pull that the router answered and reports whether it was open.
+func (s *State) pullAnswered(now time.Time, id uint64, filled bool) bool {
+	p := s.removePull(id)
 	if p == nil {
 		return false
 	}
-	s.heardFrom(p.router)
-	s.timing.answered(now.Sub(p.sent))
-	if w := s.account(p.team).routers[p.router]; w != nil && filled {
-		w.took(now)
+	s.markResponsive(p.router)
+	s.timing.observeRoundTrip(now.Sub(p.sent))
+	if q := s.account(p.team).routers[p.router]; q != nil && filled {
+		q.removeOne(now)
 	}
 	return true
 }
 
-// pullEmpty ends a pull for which nothing waited: the router has no more work
-// of the team until it says so.
+// pullEmpty ends a pull that found no request: the router has no more work of the team
+// until it sends an Interest.
 func (s *State) pullEmpty(id uint64) {
 	p := s.pulls[id]
-	if !s.answered(s.now, id, false) {
+	if !s.pullAnswered(s.now, id, false) {
 		return
 	}
 	s.stats.Empties++
-	s.drop(s.account(p.team), p.router)
+	s.removeQueue(s.account(p.team), p.router)
 }
 
-// pullLost ends a pull that gets no answer. The router is barred until it is
-// heard again, so that the slot goes to work that can be had.
+// pullLost ends a pull that gets no answer. The router gets no more pulls until it sends a
+// message, so that the slot goes to work that can be obtained.
 func (s *State) pullLost(id uint64) {
-	p := s.takePull(id)
+	p := s.removePull(id)
 	if p == nil {
 		return
 	}
-	s.barred[p.router] = true
+	s.unresponsive[p.router] = true
 }
 
 func (s *State) expirePulls(now time.Time) {
@@ -162,19 +162,19 @@
 	}
 }
 
-// free is the number of slots with nothing on the way to them.
+// free returns the number of slots without an attempt or an open pull.
 func (s *State) free() int {
 	return s.slots - len(s.runs) - len(s.ready) - len(s.pulls)
 }
 
-// fill pulls for free slots and ahead of them.
-func (s *State) fill(now time.Time) {
+// sendPulls pulls for free slots and ahead of them.
+func (s *State) sendPulls(now time.Time) {
 	if s.closed() || s.cfg.Policy == PolicyPush {
 		return
 	}
-	ahead := s.timing.ahead(s.slots, s.cfg.LookAhead)
-	for s.free()+ahead > 0 {
-		a := s.choose()
+	lookAhead := s.timing.lookAhead(s.slots, s.cfg.LookAhead)
+	for s.free()+lookAhead > 0 {
+		a := s.chooseTeam()
 		if a == nil {
 			return
 		}
@@ -186,26 +186,26 @@
 	router := s.pickRouter(a)
 	s.lastPull++
 	p := &pull{router: router, team: a.team, sent: now}
-	p.charge = s.costs.Estimate(a.team, "", 0)
+	p.estimate = s.costs.Estimate(a.team, "", 0)
 	s.pulls[s.lastPull] = p
-	a.pending += p.charge
-	a.routers[router].inflight++
+	a.pendingCost += p.estimate
+	a.routers[router].inFlight++
 	s.stats.Pulls++
 	s.emit(Pull{ID: s.lastPull, Router: router, Team: a.team})
 }
 
-// choose returns the backlogged team with the smallest virtual service among
-// those that can be pulled. Ties are broken at random, so that sidecars in the
-// same state do not all choose the same team.
-func (s *State) choose() *account {
+// chooseTeam returns the backlogged team with the smallest virtual service among those
+// that can be pulled. Ties are broken at random, so that sidecars in the same state do not
+// all choose the same team.
+func (s *State) chooseTeam() *account {
 	var best *account
 	least, ties := math.Inf(1), 0
-	for _, team := range s.teams() {
+	for _, team := range s.backloggedTeams() {
 		a := s.accounts[team]
-		if !s.pullable(a) {
+		if !s.canPull(a) {
 			continue
 		}
-		v := s.virtual(a)
+		v := s.virtualService(a)
 		if v > least {
 			continue
 		}
@@ -218,14 +218,14 @@
 		}
 	}
 	if best != nil {
-		s.level = max(s.level, least)
+		s.virtualLevel = max(s.virtualLevel, least)
 	}
 	return best
 }
 
-// teams returns the backlogged teams in order, so that the random choices
+// backloggedTeams returns the backlogged teams in sorted order, so that the random choices
 // depend on the seed alone.
-func (s *State) teams() []string {
+func (s *State) backloggedTeams() []string {
 	teams := make([]string, 0, len(s.backlogged))
 	for team := range s.backlogged {
 		teams = append(teams, team)
@@ -234,36 +234,36 @@
 	return teams
 }
 
-// pullable reports whether some router has more work than pulls are open.
-func (s *State) pullable(a *account) bool {
-	for router, w := range a.routers {
-		if w.open() && !s.barred[router] {
+// canPull reports whether some router has more queued work of the team than open pulls.
+func (s *State) canPull(a *account) bool {
+	for router, q := range a.routers {
+		if q.allowsPull() && !s.unresponsive[router] {
 			return true
 		}
 	}
 	return false
 }
 
-// pickRouter returns the router that holds the team's oldest work.
+// pickRouter returns the router with the team's oldest work.
 func (s *State) pickRouter(a *account) string {
 	best := ""
-	for name, w := range a.routers {
-		if !w.open() || s.barred[name] {
+	for name, q := range a.routers {
+		if !q.allowsPull() || s.unresponsive[name] {
 			continue
 		}
 		b := a.routers[best]
-		if b == nil || w.before(b) || (!b.before(w) && name < best) {
+		if b == nil || q.before(b) || (!b.before(q) && name < best) {
 			best = name
 		}
 	}
 	return best
 }
 
-// before orders routers by what they would hand over next: each open pull
-// takes one of the oldest.
-func (w *waiting) before(o *waiting) bool {
-	if w.inflight != o.inflight {
-		return w.inflight < o.inflight
+// before orders routers by the age of what they would hand over next: each open pull takes
+// one of the oldest requests.
+func (q *routerQueue) before(other *routerQueue) bool {
+	if q.inFlight != other.inFlight {
+		return q.inFlight < other.inFlight
 	}
-	return w.oldest.Before(o.oldest)
+	return q.oldest.Before(other.oldest)
 }
--- a/coordination/share/remote.go
+++ b/coordination/share/remote.go
@@ -8,119 +8,117 @@
 	"goldcrestport/state/ledger"
 )
 
-// paceWindow is the time over which the pool's rate of service is averaged.
-const paceWindow = 5 * time.Second
+// serviceRateWindow is the time constant of the average of the pool's service rate.
+const serviceRateWindow = 5 * time.Second
 
-// pace is a moving average of the cost given per second.
-type pace struct {
+// serviceRate is a moving average of the cost served per second.
+type serviceRate struct {
 	sum  float64
 	rate float64
 }
 
-func (p *pace) add(cost float64) { p.sum += cost }
+func (p *serviceRate) add(cost float64) { p.sum += cost }
 
-func (p *pace) advance(elapsed time.Duration) {
+func (p *serviceRate) advance(elapsed time.Duration) {
 	if elapsed <= 0 {
 		return
 	}
 	now := p.sum / elapsed.Seconds()
-	p.rate += (now - p.rate) * -math.Expm1(-elapsed.Seconds()/paceWindow.Seconds())
+	p.rate += (now - p.rate) * -math.Expm1(-elapsed.Seconds()/serviceRateWindow.Seconds())
 	p.sum = 0
 }
 
-// heard merges the counters of other sidecars. A first word moves nothing: the
-// teams go on from where they are. News of an extrapolated counter replaces
-// the presumption. News after a long silence is held back and counted slowly,
-// so that no team starves while a partition is repaid.
-func (s *State) heard(now time.Time, ev Heard) {
+// mergeCounters merges the counters of other sidecars. The first counter of a sidecar for
+// a team doesn't change the team's virtual service. An update of an extrapolated counter
+// replaces the presumed cost. An update after a long silence is deferred and counted
+// slowly, so that no team starves while the service during a partition is repaid.
+func (s *State) mergeCounters(now time.Time, ev Heard) {
 	for _, c := range ev.Counters {
 		if !s.hasRoom(c.Team) {
 			continue
 		}
 		a := s.account(c.Team)
-		before := s.virtual(a)
+		before := s.virtualService(a)
 		switch s.ledger.Merge(now, c) {
 		case ledger.First:
-			a.lift += before - s.virtual(a)
+			a.offset += before - s.virtualService(a)
 		case ledger.Late:
-			a.held += s.virtual(a) - before
+			a.deferred += s.virtualService(a) - before
 		}
 	}
 	if !s.restored && len(ev.Ahead) > 0 {
 		s.restored = true
-		s.restore(ev.Ahead)
+		s.restoreDebts(ev.Ahead)
 	}
 }
 
-// hasRoom reports whether a team that other sidecars tell of has an account or
-// may get one: what peers send must not grow the table without bound.
+// hasRoom reports whether a team named by another sidecar has an account or may get one:
+// messages from peers must not grow the table without bound.
 func (s *State) hasRoom(team string) bool {
 	return s.accounts[team] != nil || len(s.accounts) < s.cfg.Ledger.MaxTeams
 }
 
-// restore takes back the debts of teams after a restart, as another sidecar
-// sees them.
-func (s *State) restore(ahead map[string]float64) {
+// restoreDebts restores the teams' debts after a restart, as reported by another sidecar.
+func (s *State) restoreDebts(ahead map[string]float64) {
 	for team, debt := range ahead {
 		if !s.hasRoom(team) {
 			continue
 		}
 		a := s.account(team)
-		if to := s.level + debt; debt > 0 && s.virtual(a) < to {
-			a.lift += to - s.virtual(a)
+		if target := s.virtualLevel + debt; debt > 0 && s.virtualService(a) < target {
+			a.offset += target - s.virtualService(a)
 		}
 	}
 }
 
-// release counts what is held back, at a part of the fair rate at most.
-func (s *State) release(elapsed time.Duration) {
-	shares := 0.0
+// countDeferred counts deferred service, at no more than RepayFraction of the fair rate.
+func (s *State) countDeferred(elapsed time.Duration) {
+	totalShare := 0.0
 	for _, a := range s.backlogged {
-		shares += s.share(a.team)
+		totalShare += s.share(a.team)
 	}
-	if shares == 0 {
+	if totalShare == 0 {
 		return
 	}
-	most := s.cfg.RepayFraction * s.pace.rate / shares * elapsed.Seconds()
+	limit := s.cfg.RepayFraction * s.serviceRate.rate / totalShare * elapsed.Seconds()
 	for _, a := range s.accounts {
-		a.held -= max(-most, min(most, a.held))
+		a.deferred -= max(-limit, min(limit, a.deferred))
 	}
 }
 
-// Counters returns the own counters that other sidecars need, most at most:
-// those of teams that are backlogged or were charged here a short while ago.
-// The ones untold for longest come first, so that a bound delays but drops
-// none.
-func (s *State) Counters(most int) []ledger.Counter {
+// Counters returns at most the given number of this sidecar's counters that others need:
+// those of teams that are backlogged or were charged here recently. The ones not sent for
+// longest come first, so that the limit delays counters but drops none.
+func (s *State) Counters(limit int) []ledger.Counter {
 	var due []*account
 	for _, a := range s.accounts {
-		if a.backlogged() || s.now.Sub(a.charged) < s.cfg.Ledger.StaleAfter {
+		if a.isBacklogged() || s.now.Sub(a.lastCharged) < s.cfg.Ledger.StaleAfter {
 			due = append(due, a)
 		}
 	}
 	sort.Slice(due, func(i, j int) bool {
-		if due[i].told != due[j].told {
-			return due[i].told < due[j].told
+		if due[i].lastSent != due[j].lastSent {
+			return due[i].lastSent < due[j].lastSent
 		}
 		return due[i].team < due[j].team
 	})
-	due = due[:min(len(due), most)]
+	due = due[:min(len(due), limit)]
 	out := make([]ledger.Counter, 0, len(due))
 	for _, a := range due {
-		s.tellings++
-		a.told = s.tellings
+		s.sendSeq++
+		a.lastSent = s.sendSeq
 		out = append(out, s.ledger.OwnCounter(a.team))
 	}
 	return out
 }
 
-// Standing returns every counter that is known, and how far each backlogged
-// team is ahead of the smallest virtual service, for a sidecar that restarted.
+// Standing returns all known counters, and how far each backlogged team is ahead of the
+// smallest virtual service, for a sidecar that restarted.
 func (s *State) Standing() ([]ledger.Counter, map[string]float64) {
 	ahead := map[string]float64{}
-	base := s.smallest(nil)
+	lowest := s.minVirtualService(nil)
 	for _, a := range s.backlogged {
-		ahead[a.team] = s.virtual(a) - base
+		ahead[a.team] = s.virtualService(a) - lowest
 	}
 	return s.ledger.All(), ahead
 }
--- a/coordination/share/slots_test.go
+++ b/coordination/share/slots_test.go
@@ -9,9 +9,9 @@
 	"goldcrestport/coordination/share"
 )
 
-// Without slots, as while the backend server fails, nothing is pulled, taken
-// or kept waiting, and the sidecar does not say that it leaves.
-func TestNoSlotsTakeNothing(t *testing.T) {
+// Without slots, as while the backend server fails, the sidecar neither pulls, accepts nor
+// queues work, and does not report that it is draining.
+func TestNoSlotsAcceptNoWork(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_000_000, 0)
 	cfg := share.DefaultConfig()
--- a/coordination/share/stats.go
+++ b/coordination/share/stats.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Stats counts what the choice did, for the operators' metrics.
+// Stats counts the scheduler's actions, for the operators' metrics.
 type Stats struct {
 	Starts   int64
 	Pulls    int64
 	Empties  int64
 	Declines int64
-	// BusySlots is the slot time in which attempts ran.
+	// BusySlots is the total time in which slots ran attempts.
 	BusySlots time.Duration
-	// IdleWhileWaiting is the slot time idle while a router had registered
-	// waiting work.
+	// IdleWhileWaiting is the total time in which slots were idle while a router had
+	// reported queued work.
 	IdleWhileWaiting time.Duration
 }
 
@@ -23,7 +23,7 @@
 		return
 	}
 	t.BusySlots += time.Duration(len(s.runs)) * elapsed
-	if idle := s.slots - len(s.runs); idle > 0 && !s.closed() && s.backlog() {
+	if idle := s.slots - len(s.runs); idle > 0 && !s.closed() && s.hasBacklog() {
 		t.IdleWhileWaiting += time.Duration(idle) * elapsed
 	}
 }
@@ -31,7 +31,7 @@
 // Stats returns the counts so far.
 func (s *State) Stats() Stats { return s.stats }
 
-// TeamCosts calls visit with each team's cost given here since the start.
+// TeamCosts calls visit with the cost of each team's service here since the start.
 func (s *State) TeamCosts(visit func(team string, cost float64)) {
 	for team := range s.accounts {
 		visit(team, s.ledger.Own(team))
@@ -40,24 +40,24 @@
 
 // Parameters of the look-ahead.
 const (
-	// timingGain is the weight of one more duration in the averages.
+	// timingGain is the weight of a new duration in the averages.
 	timingGain = 0.1
-	// idleTolerated is the part of a slot's time that may pass idle during a
-	// pull. Where it is less, work is bound as late as possible instead.
-	idleTolerated = 0.001
+	// toleratedIdleFraction is the fraction of a slot's time that may pass idle during a pull.
+	// Below it, work is assigned to a slot as late as possible instead.
+	toleratedIdleFraction = 0.001
 )
 
-// timing keeps what the look-ahead is worked out from, in seconds.
+// timing holds the averages from which the look-ahead is computed, in seconds.
 type timing struct {
 	roundTrip float64
 	runTime   float64
 }
 
-func (t *timing) answered(d time.Duration) { average(&t.roundTrip, d) }
+func (t *timing) observeRoundTrip(d time.Duration) { updateMean(&t.roundTrip, d) }
 
-func (t *timing) ran(d time.Duration) { average(&t.runTime, d) }
+func (t *timing) observeRun(d time.Duration) { updateMean(&t.runTime, d) }
 
-func average(mean *float64, d time.Duration) {
+func updateMean(mean *float64, d time.Duration) {
 	if *mean == 0 {
 		*mean = d.Seconds()
 		return
@@ -65,16 +65,16 @@
 	*mean += timingGain * (d.Seconds() - *mean)
 }
 
-// ahead returns how many requests to pull ahead of a free slot: as many as end
-// during one round trip, at most, and none where the idle time does not
-// matter. Until both times are known it is the most that is allowed.
-func (t *timing) ahead(slots, most int) int {
+// lookAhead returns how many requests to pull ahead of a free slot: at most as many as end
+// during one round trip, and none where the idle time does not matter. Until both times
+// are known it is the maximum.
+func (t *timing) lookAhead(slots, limit int) int {
 	if t.runTime == 0 || t.roundTrip == 0 {
-		return most
+		return limit
 	}
 	idle := t.roundTrip / t.runTime
-	if idle < idleTolerated {
+	if idle < toleratedIdleFraction {
 		return 0
 	}
-	return min(most, int(math.Ceil(idle*float64(slots))))
+	return min(limit, int(math.Ceil(idle*float64(slots))))
 }
