--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -270,7 +270,7 @@
 	d.Verdict = Send
 	d.Source = s.sourceOf(now, req, best, usable)
 	if !req.Sent {
-		s.teams.Begin(now, team, tokens)
+		s.teams.RecordStart(now, team, tokens)
 		s.throttle.Sent(now, team, tokens)
 	}
 	d.Run = s.start(now, best.server, best.unread, req.Shared)
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -400,7 +400,7 @@
 	team := fairshare.IDOf("flood")
 	for range 20 {
 		a.teams.Ask(epoch, team, 10000)
-		a.teams.Begin(epoch, team, 10000)
+		a.teams.RecordStart(epoch, team, 10000)
 	}
 	b.Told(epoch, "a", a.Digest(epoch, true, true))
 	b.teams.Ask(epoch, fairshare.IDOf("small"), 100)
--- a/coordination/admission/limit.go
+++ b/coordination/admission/limit.go
@@ -59,14 +59,14 @@
 
 // followTeams tells the throttle what teams ask and get, when that was summed anew.
 func (s *State) followTeams() {
-	at := s.teams.Leveled()
+	at := s.teams.Updated()
 	if at.Equal(s.throttled) {
 		return
 	}
 	s.throttled = at
 	teams := make(map[fairshare.TeamID]throttle.Team)
 	s.teams.Each(func(id fairshare.TeamID, use fairshare.Use) {
-		teams[id] = throttle.Team{Asked: use.AskedLately, BegunLately: use.BegunLately, Throttled: use.ThrottledLately, Begun: use.Begun / s.cfg.Window.Seconds()}
+		teams[id] = throttle.Team{RequestedRate: use.RequestedRate, StartedRate: use.StartedRate, ThrottledRate: use.ThrottledRate, MeanStartedRate: use.Started / s.cfg.Window.Seconds()}
 	})
 	s.throttle.Observe(at, s.teams.Share(), teams)
 }
--- a/coordination/admission/limit_test.go
+++ b/coordination/admission/limit_test.go
@@ -74,7 +74,7 @@
 		s.SetCapacity(25000)
 		flood := fairshare.IDOf("flood")
 		s.teams.Ask(epoch, flood, 200000)
-		s.teams.Begin(epoch, flood, 200000)
+		s.teams.RecordStart(epoch, flood, 200000)
 		for _, one := range first(s.pool("llm").servers, document.ID, s.cfg.Candidates) {
 			s.start(epoch, one, 60000, nil)
 		}
--- a/coordination/admission/peers.go
+++ b/coordination/admission/peers.go
@@ -87,7 +87,7 @@
 		s.setOther(p, id, use)
 	}
 	if d.Teams != nil {
-		s.teams.Reported(now, router, d.Teams)
+		s.teams.SetPeerUse(now, router, d.Teams)
 	}
 }
 
--- a/coordination/admission/throttle_test.go
+++ b/coordination/admission/throttle_test.go
@@ -28,8 +28,8 @@
 			now = now.Add(time.Millisecond)
 			if i%250 == 0 {
 				s.Told(now, "other", Digest{All: true, Teams: map[fairshare.TeamID]fairshare.Use{
-					narrow: {Asked: 4e6, Begun: 4 * gotNarrow, AskedLately: 1e6, BegunLately: gotNarrow},
-					wide:   {Asked: 4e6, Begun: 4 * gotWide, AskedLately: 1e6, BegunLately: gotWide},
+					narrow: {Requested: 4e6, Started: 4 * gotNarrow, RequestedRate: 1e6, StartedRate: gotNarrow},
+					wide:   {Requested: 4e6, Started: 4 * gotWide, RequestedRate: 1e6, StartedRate: gotWide},
 				}})
 			}
 			req := prompt(800)
@@ -68,7 +68,7 @@
 			s.SetCapacity(500_000)
 			s.SetRouters(2)
 			all := Digest{All: true, Servers: map[ServerID]Use{}, Teams: map[fairshare.TeamID]fairshare.Use{
-				fairshare.IDOf("below"): {Asked: 8e6, Begun: below}, fairshare.IDOf("beyond"): {Asked: 8e6, Begun: beyond},
+				fairshare.IDOf("below"): {Requested: 8e6, Started: below}, fairshare.IDOf("beyond"): {Requested: 8e6, Started: beyond},
 			}}
 			for i := range 3 {
 				all.Servers[NumberOf(fmt.Sprint("i-", i), 0)] = Use{Unread: float64(queue), Runs: queue / 4000}
--- a/coordination/fairshare/fairshare_test.go
+++ b/coordination/fairshare/fairshare_test.go
@@ -52,9 +52,9 @@
 	flood, small := IDOf("flood"), IDOf("small")
 	for range 40 {
 		m.Ask(now, flood, 1000)
-		m.Begin(now, flood, 500)
+		m.RecordStart(now, flood, 500)
 		m.Ask(now, small, 50)
-		m.Begin(now, small, 50)
+		m.RecordStart(now, small, 50)
 		now = now.Add(100 * time.Millisecond)
 	}
 	const capacity = 16000
@@ -70,9 +70,9 @@
 	m, now := NewMeter(4*time.Second), time.Unix(1000, 0)
 	a, b := IDOf("a"), IDOf("b")
 	m.Ask(now, a, 100)
-	m.Begin(now, a, 10)
+	m.RecordStart(now, a, 10)
 	m.Ask(now, b, 100)
-	m.Reported(now, "other", map[TeamID]Use{a: {Asked: 900, Begun: 90}})
+	m.SetPeerUse(now, "other", map[TeamID]Use{a: {Requested: 900, Started: 90}})
 	qt.Check(t, m.Standing(now, a, 100), qt.Equals, 2.0)
 	qt.Check(t, m.Standing(now, b, 100), qt.Equals, 0.0)
 	now = now.Add(ReportTime + time.Millisecond)
@@ -88,11 +88,11 @@
 	large, small, tiny := IDOf("large"), IDOf("small"), IDOf("tiny")
 	for range 40 {
 		m.Ask(now, large, 2000)
-		m.Begin(now, large, 1290)
+		m.RecordStart(now, large, 1290)
 		m.Ask(now, small, 370)
-		m.Begin(now, small, 160)
+		m.RecordStart(now, small, 160)
 		m.Ask(now, tiny, 20)
-		m.Begin(now, tiny, 20)
+		m.RecordStart(now, tiny, 20)
 		now = now.Add(100 * time.Millisecond)
 	}
 	const configured = 1e9
@@ -108,9 +108,9 @@
 	m, now := NewMeter(4*time.Second), time.Unix(1000, 0)
 	large, small := IDOf("large"), IDOf("small")
 	m.Ask(now, large, 1000)
-	m.Begin(now, large, 960)
+	m.RecordStart(now, large, 960)
 	m.Ask(now, small, 100)
-	m.Begin(now, small, 100)
+	m.RecordStart(now, small, 100)
 	m.Standing(now, large, 1e9)
 	qt.Check(t, m.ServedStanding(large), qt.Equals, 0.0)
 	m.Ask(now, large, 4000)
--- a/coordination/fairshare/meter.go
+++ b/coordination/fairshare/meter.go
@@ -16,11 +16,11 @@
 // Use is what a team requested within the window, and what of it was sent to backend
 // servers, in tokens.
 type Use struct {
-	Asked, Begun float64
+	Requested, Started float64
 	// Rates over about the last second, in tokens per second; they show a flood at once.
 	// ThrottledLately is the part of AskedLately that was refused only because the team is
 	// throttled.
-	AskedLately, BegunLately, ThrottledLately float64
+	RequestedRate, StartedRate, ThrottledRate float64
 }
 
 // window holds the sums of one team over the latest slices.
@@ -94,13 +94,13 @@
 	w := m.advance(now, team)
 	w.requested[0] += tokens
 	w.decay(now)
-	w.recent.AskedLately += tokens / rateTime.Seconds()
+	w.recent.RequestedRate += tokens / rateTime.Seconds()
 	if w.meanSize == 0 {
 		w.meanSize = tokens
 	}
 	w.meanSize += meanSizeGain * (tokens - w.meanSize)
 	u := m.total[team]
-	u.Asked += tokens
+	u.Requested += tokens
 	m.total[team] = u
 }
 
@@ -121,13 +121,13 @@
 }
 
 // Begin records a request of the team that was sent to a server.
-func (m *Meter) Begin(now time.Time, team TeamID, tokens float64) {
+func (m *Meter) RecordStart(now time.Time, team TeamID, tokens float64) {
 	w := m.advance(now, team)
 	w.started[0] += tokens
 	w.decay(now)
-	w.recent.BegunLately += tokens / rateTime.Seconds()
+	w.recent.StartedRate += tokens / rateTime.Seconds()
 	u := m.total[team]
-	u.Begun += tokens
+	u.Started += tokens
 	m.total[team] = u
 }
 
@@ -136,12 +136,12 @@
 func (m *Meter) Throttled(now time.Time, team TeamID, tokens float64) {
 	w := m.advance(now, team)
 	w.decay(now)
-	w.recent.ThrottledLately += tokens / rateTime.Seconds()
+	w.recent.ThrottledRate += tokens / rateTime.Seconds()
 }
 
 // Reported stores the usage of another router's own requests, which replaces its previous
 // report.
-func (m *Meter) Reported(now time.Time, router string, use map[TeamID]Use) {
+func (m *Meter) SetPeerUse(now time.Time, router string, use map[TeamID]Use) {
 	m.peers[router] = peerUse{received: now, use: use}
 }
 
@@ -149,7 +149,7 @@
 func (m *Meter) Own(now time.Time) map[TeamID]Use {
 	out := make(map[TeamID]Use, len(m.own))
 	for team := range m.own {
-		if u := m.advance(now, team).usage(now); u.Asked > 0 || u.Begun > 0 {
+		if u := m.advance(now, team).usage(now); u.Requested > 0 || u.Started > 0 {
 			out[team] = u
 		} else {
 			delete(m.own, team)
@@ -166,7 +166,7 @@
 	if now.Sub(m.updated) >= refreshPeriod {
 		m.refresh(now, capacity)
 	}
-	recent := m.total[team].BegunLately * (windowSlices * m.sliceWidth).Seconds()
+	recent := m.total[team].StartedRate * (windowSlices * m.sliceWidth).Seconds()
 	return max(m.standing(team, m.level), recent/m.level)
 }
 
@@ -184,7 +184,7 @@
 func (m *Meter) Share() float64 { return m.shareRate }
 
 // Leveled returns when Standing last summed the usage of all teams.
-func (m *Meter) Leveled() time.Time { return m.updated }
+func (m *Meter) Updated() time.Time { return m.updated }
 
 // Each calls do for each team with its usage at all routers, as of the last call of
 // Standing.
@@ -208,7 +208,7 @@
 	if math.IsInf(level, 1) || level <= 0 {
 		return 0
 	}
-	return m.total[team].Begun / level
+	return m.total[team].Started / level
 }
 
 // servedFraction is the fraction of the requested tokens from which all of them count as
@@ -230,19 +230,19 @@
 		}
 		for team, u := range peer.use {
 			t := m.total[team]
-			t.Asked += u.Asked
-			t.Begun += u.Begun
-			t.AskedLately += u.AskedLately
-			t.BegunLately += u.BegunLately
-			t.ThrottledLately += u.ThrottledLately
+			t.Requested += u.Requested
+			t.Started += u.Started
+			t.RequestedRate += u.RequestedRate
+			t.StartedRate += u.StartedRate
+			t.ThrottledRate += u.ThrottledRate
 			m.total[team] = t
 		}
 	}
 	requested, recent := make([]float64, 0, len(m.total)), make([]float64, 0, len(m.total))
 	var served float64
 	for _, u := range m.total {
-		requested, recent = append(requested, u.Asked), append(recent, u.AskedLately)
-		served += u.Begun
+		requested, recent = append(requested, u.Requested), append(recent, u.RequestedRate)
+		served += u.Started
 	}
 	m.level, m.served = Level(requested, capacity), servedLevel(requested, served)
 	m.shareRate = Level(recent, capacity/(windowSlices*m.sliceWidth).Seconds())
@@ -288,9 +288,9 @@
 func (w *window) decay(now time.Time) {
 	if since := now.Sub(w.recentAt); since > 0 {
 		keep := math.Exp(-since.Seconds() / rateTime.Seconds())
-		w.recent.AskedLately *= keep
-		w.recent.BegunLately *= keep
-		w.recent.ThrottledLately *= keep
+		w.recent.RequestedRate *= keep
+		w.recent.StartedRate *= keep
+		w.recent.ThrottledRate *= keep
 		w.recentAt = now
 	}
 }
@@ -300,8 +300,8 @@
 	w.decay(now)
 	u := w.recent
 	for i := range w.requested {
-		u.Asked += w.requested[i]
-		u.Begun += w.started[i]
+		u.Requested += w.requested[i]
+		u.Started += w.started[i]
 	}
 	return u
 }
--- a/coordination/intake/fleet_test.go
+++ b/coordination/intake/fleet_test.go
@@ -221,7 +221,7 @@
 		f.observed = f.now
 		teams := make(map[fairshare.TeamID]throttle.Team)
 		f.meter.Each(func(id fairshare.TeamID, use fairshare.Use) {
-			teams[id] = throttle.Team{Asked: use.AskedLately, BegunLately: use.BegunLately, Throttled: use.ThrottledLately, Begun: use.Begun / modelWindow.Seconds()}
+			teams[id] = throttle.Team{RequestedRate: use.RequestedRate, StartedRate: use.StartedRate, ThrottledRate: use.ThrottledRate, MeanStartedRate: use.Started / modelWindow.Seconds()}
 		})
 		f.throttle.Observe(at(f.now), f.meter.Share(), teams)
 	}
@@ -312,7 +312,7 @@
 		f.again(a)
 		return
 	}
-	f.meter.Begin(at(f.now), fairshare.IDOf(team), modelTokens)
+	f.meter.RecordStart(at(f.now), fairshare.IDOf(team), modelTokens)
 	f.throttle.Sent(at(f.now), fairshare.IDOf(team), modelTokens)
 	f.got[team] += modelTokens
 	f.queue += modelTokens
--- a/coordination/share/event.go
+++ b/coordination/share/event.go
@@ -53,7 +53,7 @@
 	Attempt uint64
 	Cost    float64
 	// Whole is true if the request ran to its end, so that its cost is learned.
-	Whole bool
+	Completed bool
 }
 
 // SharesSet replaces the shares of the teams.
@@ -63,7 +63,7 @@
 type SlotsSet struct{ Slots int }
 
 // Heard is a message from another sidecar of the pool.
-type Heard struct {
+type CountersReceived struct {
 	Counters []ledger.Counter
 	// Ahead is, per team, how far it is ahead of the smallest virtual service at the other
 	// sidecar; empty if the message does not include it.
@@ -71,7 +71,7 @@
 }
 
 // Left stops all new work permanently.
-type Left struct{}
+type ShutdownStarted struct{}
 
 // Drained stops new work or allows it again, as the configuration says.
 type Drained struct{ On bool }
@@ -79,19 +79,19 @@
 // Ticked advances the time.
 type Ticked struct{}
 
-func (Interest) isEvent()   {}
-func (RouterDown) isEvent() {}
-func (Offered) isEvent()    {}
-func (PullEmpty) isEvent()  {}
-func (PullFailed) isEvent() {}
-func (Progressed) isEvent() {}
-func (Ended) isEvent()      {}
-func (SharesSet) isEvent()  {}
-func (SlotsSet) isEvent()   {}
-func (Heard) isEvent()      {}
-func (Left) isEvent()       {}
-func (Drained) isEvent()    {}
-func (Ticked) isEvent()     {}
+func (Interest) isEvent()         {}
+func (RouterDown) isEvent()       {}
+func (Offered) isEvent()          {}
+func (PullEmpty) isEvent()        {}
+func (PullFailed) isEvent()       {}
+func (Progressed) isEvent()       {}
+func (Ended) isEvent()            {}
+func (SharesSet) isEvent()        {}
+func (SlotsSet) isEvent()         {}
+func (CountersReceived) isEvent() {}
+func (ShutdownStarted) isEvent()  {}
+func (Drained) isEvent()          {}
+func (Ticked) isEvent()           {}
 
 // Action is an output of State.Step that the driver performs.
 type Action interface{ isAction() }
@@ -111,9 +111,9 @@
 
 // Report sends the present capacity to every router.
 type Report struct {
-	Slots   int
-	Free    int
-	Leaving bool
+	Slots    int
+	Free     int
+	Draining bool
 	// Waiting is the number of attempts queued here.
 	Waiting int
 }
--- a/coordination/share/fair_test.go
+++ b/coordination/share/fair_test.go
@@ -82,7 +82,7 @@
 	o.pulls = o.pulls[1:]
 	o.next++
 	o.step(Offered{Attempt: o.next, Pull: p.ID, Router: p.Router, Team: p.Team})
-	o.step(Ended{Attempt: o.next, Cost: cost, Whole: true})
+	o.step(Ended{Attempt: o.next, Cost: cost, Completed: true})
 	return p.Team
 }
 
@@ -158,7 +158,7 @@
 		o.next++
 		o.step(Offered{Attempt: o.next, Team: "busy"})
 		o.advanceBy(10 * time.Millisecond)
-		o.step(Ended{Attempt: o.next, Cost: 10, Whole: true})
+		o.step(Ended{Attempt: o.next, Cost: 10, Completed: true})
 	}
 	o.advanceBy(20 * time.Second)
 	o.queue("quiet", 100)
@@ -231,7 +231,7 @@
 	s.Step(now, Offered{Attempt: 1, Team: "a"})
 	s.Step(now, Offered{Attempt: 2, Team: "a"})
 	s.Step(now, Offered{Attempt: 3, Team: "b"})
-	c.Assert(s.Room().Waiting, qt.Equals, 2)
+	c.Assert(s.Capacity().Waiting, qt.Equals, 2)
 	c.Assert(s.Step(now, Ticked{}), qt.Contains, Action(Report{Slots: 1, Waiting: 2}))
 	c.Assert(s.Step(now, Ended{Attempt: 1}), qt.DeepEquals, []Action{Start{Attempt: 2}})
 	cfg.Policy = "other"
--- a/coordination/share/fault_test.go
+++ b/coordination/share/fault_test.go
@@ -86,7 +86,7 @@
 	c := qt.New(t)
 	o := newTestSidecar(1)
 	receive := func(a, b float64) {
-		o.step(Heard{Counters: []ledger.Counter{
+		o.step(CountersReceived{Counters: []ledger.Counter{
 			{Writer: "peer", Incarnation: "1", Team: "a", Served: a},
 			{Writer: "peer", Incarnation: "1", Team: "b", Served: b},
 		}})
@@ -120,12 +120,12 @@
 		o.serve(1)
 	}
 	o.serve(300)
-	counters, ahead := o.Standing()
+	counters, ahead := o.Snapshot()
 	fresh := newTestSidecar(1)
 	fresh.cfg.Ledger.Writer = "fresh"
 	fresh.queue("a", 100)
 	fresh.queue("b", 100)
-	fresh.step(Heard{Counters: counters, Ahead: ahead})
+	fresh.step(CountersReceived{Counters: counters, Ahead: ahead})
 	debt := o.ahead("a", "b")
 	c.Assert(debt > 200, qt.IsTrue)
 	c.Assert(fresh.ahead("a", "b") > 0.95*debt, qt.IsTrue, qt.Commentf("%v of %v", fresh.ahead("a", "b"), debt))
--- a/coordination/share/figures_test.go
+++ b/coordination/share/figures_test.go
@@ -109,7 +109,7 @@
 		team := fmt.Sprint("team-", i)
 		o.next++
 		o.step(Offered{Attempt: o.next, Team: team})
-		o.step(Ended{Attempt: o.next, Cost: 1, Whole: true})
+		o.step(Ended{Attempt: o.next, Cost: 1, Completed: true})
 		if i%10 == 0 {
 			o.queue(team, 1e9)
 		}
--- a/coordination/share/fleet_test.go
+++ b/coordination/share/fleet_test.go
@@ -122,8 +122,8 @@
 			f.step(i, Interest{Router: "r", Team: s.name, Count: 1000, Spread: len(s.sidecars)})
 		}
 	}
-	counters, ahead := f.sidecars[(i+1)%len(f.sidecars)].Standing()
-	f.step(i, Heard{Counters: counters, Ahead: ahead})
+	counters, ahead := f.sidecars[(i+1)%len(f.sidecars)].Snapshot()
+	f.step(i, CountersReceived{Counters: counters, Ahead: ahead})
 }
 
 func sidecarConfig(i int, incarnation string, sc scenario) Config {
@@ -233,7 +233,7 @@
 		}
 		r.from.served += r.cost
 		delete(f.runs, attempt)
-		f.step(i, Ended{Attempt: attempt, Cost: r.cost, Whole: true})
+		f.step(i, Ended{Attempt: attempt, Cost: r.cost, Completed: true})
 	})
 }
 
@@ -295,7 +295,7 @@
 }
 
 func (f *fleet) sendCounters(from, to int) {
-	f.step(to, Heard{Counters: f.sidecars[from].Counters(1000)})
+	f.step(to, CountersReceived{Counters: f.sidecars[from].Counters(1000)})
 }
 
 // lightWait returns the 95th percentile of the light teams' waits.
--- a/coordination/share/leave_test.go
+++ b/coordination/share/leave_test.go
@@ -12,7 +12,7 @@
 // An attempt that waits for a slot is declined when the sidecar is drained or shuts down,
 // and so is one that is offered later.
 func TestDrainingDeclinesWaitingAttempts(t *testing.T) {
-	for name, event := range map[string]share.Event{"drained": share.Drained{On: true}, "left": share.Left{}} {
+	for name, event := range map[string]share.Event{"drained": share.Drained{On: true}, "left": share.ShutdownStarted{}} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			cfg := share.DefaultConfig()
--- a/coordination/share/remote.go
+++ b/coordination/share/remote.go
@@ -32,7 +32,7 @@
 // a team doesn't change the team's virtual service. An update of an extrapolated counter
 // replaces the presumed cost. An update after a long silence is deferred and counted
 // slowly, so that no team starves while the service during a partition is repaid.
-func (s *State) mergeCounters(now time.Time, ev Heard) {
+func (s *State) mergeCounters(now time.Time, ev CountersReceived) {
 	for _, c := range ev.Counters {
 		if !s.hasRoom(c.Team) {
 			continue
@@ -114,7 +114,7 @@
 
 // Standing returns all known counters, and how far each backlogged team is ahead of the
 // smallest virtual service, for a sidecar that restarted.
-func (s *State) Standing() ([]ledger.Counter, map[string]float64) {
+func (s *State) Snapshot() ([]ledger.Counter, map[string]float64) {
 	ahead := map[string]float64{}
 	lowest := s.minVirtualService(nil)
 	for _, a := range s.backlogged {
--- a/coordination/share/run.go
+++ b/coordination/share/run.go
@@ -71,7 +71,7 @@
 		delete(s.runs, ev.Attempt)
 		s.settle(r, ev.Cost)
 		s.account(r.team).pendingCost -= r.pendingCost()
-		if ev.Whole {
+		if ev.Completed {
 			s.costs.Observe(r.team, r.class, ev.Cost)
 			s.timing.observeRun(now.Sub(r.started))
 		}
--- a/coordination/share/share.go
+++ b/coordination/share/share.go
@@ -95,9 +95,9 @@
 	case SlotsSet:
 		s.slots = ev.Slots
 		s.declineReady()
-	case Heard:
+	case CountersReceived:
 		s.mergeCounters(now, ev)
-	case Left:
+	case ShutdownStarted:
 		s.shuttingDown = true
 		s.declineReady()
 	case Drained:
@@ -138,8 +138,8 @@
 func (s *State) isDraining() bool { return s.shuttingDown || s.drained }
 
 // Room returns the present capacity, for the periodic report.
-func (s *State) Room() Report {
-	r := Report{Slots: s.slots, Leaving: s.isDraining(), Waiting: len(s.ready)}
+func (s *State) Capacity() Report {
+	r := Report{Slots: s.slots, Draining: s.isDraining(), Waiting: len(s.ready)}
 	if !s.closed() {
 		r.Free = max(s.free(), 0)
 	}
@@ -150,9 +150,9 @@
 // free slots between none and some. Routers that push need every change, so they get it
 // with each tick.
 func (s *State) report(ev Event) {
-	r := s.Room()
+	r := s.Capacity()
 	before := s.lastReport
-	same := r.Slots == before.Slots && r.Leaving == before.Leaving
+	same := r.Slots == before.Slots && r.Draining == before.Draining
 	if s.cfg.Policy == PolicyPush {
 		if _, tick := ev.(Ticked); !tick || r == before {
 			return
--- a/coordination/share/slots_test.go
+++ b/coordination/share/slots_test.go
@@ -23,8 +23,8 @@
 	step(share.Offered{Attempt: 2, Pull: 2, Router: "r", Team: "a"})
 	got := step(share.SlotsSet{Slots: 0})
 	c.Assert(got, qt.Contains, share.Action(share.Decline{Attempt: 2}))
-	c.Assert(s.Room().Leaving, qt.IsFalse)
-	c.Assert(s.Room().Free, qt.Equals, 0)
+	c.Assert(s.Capacity().Draining, qt.IsFalse)
+	c.Assert(s.Capacity().Free, qt.Equals, 0)
 	for _, a := range append(step(share.Offered{Attempt: 3, Router: "r", Team: "a"}), step(share.Ended{Attempt: 1})...) {
 		_, pull := a.(share.Pull)
 		c.Assert(pull, qt.IsFalse)
--- a/coordination/throttle/account.go
+++ b/coordination/throttle/account.go
@@ -52,7 +52,7 @@
 // assign sets the team's rate at this router: its bound over the fleet times the fraction
 // of its requests that arrive here.
 func (a *account) assign(t Team, bound float64, isLeast bool, elapsed time.Duration, cfg Config) {
-	throttled := !math.IsInf(bound, 1) && t.Asked >= cfg.NearFraction*bound
+	throttled := !math.IsInf(bound, 1) && t.RequestedRate >= cfg.NearFraction*bound
 	if !throttled {
 		a.throttled = false
 		return
@@ -75,8 +75,8 @@
 // updateBoost raises the boost while the team gets less than its bound: lagging routers
 // receive a part of the requests, and so of the rate, but don't send it.
 func (a *account) updateBoost(t Team, bound float64, elapsed time.Duration, cfg Config) {
-	missing := 1 - t.BegunLately/bound
-	if a.debt > 0 || missing > 0 && t.Throttled < throttledFraction*(t.Asked-t.BegunLately) {
+	missing := 1 - t.StartedRate/bound
+	if a.debt > 0 || missing > 0 && t.ThrottledRate < throttledFraction*(t.RequestedRate-t.StartedRate) {
 		return
 	}
 	a.boost = min(max(a.boost*math.Exp(missing*elapsed.Seconds()/cfg.BoostTime.Seconds()), 1), cfg.MaxBoost)
@@ -96,7 +96,7 @@
 	if isLeast {
 		own = max(own, a.recentRequested/cfg.ShortAverageTime.Seconds())
 	}
-	others := max(t.Asked-a.requested/averageSeconds, 0)
+	others := max(t.RequestedRate-a.requested/averageSeconds, 0)
 	return own / max(own+others, 1)
 }
 
--- a/coordination/throttle/designs_test.go
+++ b/coordination/throttle/designs_test.go
@@ -22,10 +22,10 @@
 	level, least, got := l.r.meter.Level(), math.Inf(1), 0.0
 	l.r.meter.Each(func(id fairshare.TeamID, use fairshare.Use) {
 		if id == team {
-			got = use.Begun
+			got = use.Started
 		}
-		if use.Asked >= level && use.Begun < unmetFraction*use.Asked {
-			least = min(least, use.Begun)
+		if use.Requested >= level && use.Started < unmetFraction*use.Requested {
+			least = min(least, use.Started)
 		}
 	})
 	factor := l.factor
@@ -54,14 +54,14 @@
 		if id == team {
 			own = use
 		}
-		if use.Asked >= level && use.Begun < 0.7*use.Asked {
-			least = min(least, use.Begun)
+		if use.Requested >= level && use.Started < 0.7*use.Requested {
+			least = min(least, use.Started)
 		}
 	})
-	if level == 0 || math.IsInf(least, 1) || own.Asked == 0 {
+	if level == 0 || math.IsInf(least, 1) || own.Requested == 0 {
 		return true, 0
 	}
-	return p.rand.Float64() < max(1.35*least, level)/own.Asked, 50 * time.Millisecond
+	return p.rand.Float64() < max(1.35*least, level)/own.Requested, 50 * time.Millisecond
 }
 
 func (*fractionLimiter) recordRequest(time.Time, fairshare.TeamID, float64) {}
@@ -91,7 +91,7 @@
 func (b *rateLimiter) teams() map[fairshare.TeamID]Team {
 	out := make(map[fairshare.TeamID]Team)
 	b.r.meter.Each(func(id fairshare.TeamID, use fairshare.Use) {
-		out[id] = Team{Asked: use.AskedLately, BegunLately: use.BegunLately, Throttled: use.ThrottledLately, Begun: use.Begun / modelWindow.Seconds()}
+		out[id] = Team{RequestedRate: use.RequestedRate, StartedRate: use.StartedRate, ThrottledRate: use.ThrottledRate, MeanStartedRate: use.Started / modelWindow.Seconds()}
 	})
 	return out
 }
--- a/coordination/throttle/fleet_test.go
+++ b/coordination/throttle/fleet_test.go
@@ -231,7 +231,7 @@
 		return
 	}
 	load.budget -= tokens
-	r.meter.Begin(now, load.id, tokens)
+	r.meter.RecordStart(now, load.id, tokens)
 	r.limiter.recordSent(now, load.id, tokens)
 	f.queue += tokens
 	addToSecond(&load.sentPerSecond, f.now, tokens)
@@ -299,7 +299,7 @@
 		f.reports = f.reports[1:]
 		for _, r := range f.routers {
 			if r.id != w.from {
-				r.meter.Reported(f.clock(), w.from, w.use)
+				r.meter.SetPeerUse(f.clock(), w.from, w.use)
 			}
 		}
 	}
--- a/coordination/throttle/throttle.go
+++ b/coordination/throttle/throttle.go
@@ -100,14 +100,14 @@
 type Team struct {
 	// Asked, BegunLately and Throttled are rates of about the last second. Throttled is
 	// the part of Asked that was refused only because the team is throttled.
-	Asked, BegunLately, Throttled float64
+	RequestedRate, StartedRate, ThrottledRate float64
 	// Begun is the mean over the window in which teams are compared.
-	Begun float64
+	MeanStartedRate float64
 }
 
 // servedRate returns what the team gets: a flood that started a moment ago gets much more
 // than its mean over the window.
-func (t Team) servedRate() float64 { return max(t.Begun, t.BegunLately) }
+func (t Team) servedRate() float64 { return max(t.MeanStartedRate, t.StartedRate) }
 
 // State is the throttle of one router. It must be used by one goroutine at a time.
 type State[ID comparable] struct {
@@ -212,7 +212,7 @@
 func (s *State[ID]) leastServed(share float64, teams map[ID]Team) (least, second underserved[ID]) {
 	for id, t := range teams {
 		switch {
-		case t.Asked < share || t.servedRate() >= s.cfg.UnmetFraction*(t.Asked-t.Throttled):
+		case t.RequestedRate < share || t.servedRate() >= s.cfg.UnmetFraction*(t.RequestedRate-t.ThrottledRate):
 		case least.exceeds(t):
 			least, second = underserved[ID]{id, t, true}, least
 		case second.exceeds(t):
@@ -227,7 +227,7 @@
 	if !least.known || math.IsInf(share, 1) {
 		return math.Inf(1)
 	}
-	return max(s.cfg.LeadFactor*least.team.Begun, s.cfg.ShareFactor*share)
+	return max(s.cfg.LeadFactor*least.team.MeanStartedRate, s.cfg.ShareFactor*share)
 }
 
 // updateBound moves the bound towards the target. If the target is no limit, the bound
@@ -250,7 +250,7 @@
 func maxRequested[ID comparable](teams map[ID]Team) float64 {
 	highest := 0.0
 	for _, t := range teams {
-		highest = max(highest, t.Asked)
+		highest = max(highest, t.RequestedRate)
 	}
 	return highest
 }
--- a/coordination/throttle/throttle_test.go
+++ b/coordination/throttle/throttle_test.go
@@ -21,14 +21,14 @@
 // twoTeams returns the teams of a fleet in which this router gets all requests.
 func twoTeams() map[string]Team {
 	return map[string]Team{
-		"ahead": {Asked: 100_000, BegunLately: 30_000, Begun: 30_000},
-		"waits": {Asked: 50_000, BegunLately: testUnderservedRate, Begun: testUnderservedRate},
+		"ahead": {RequestedRate: 100_000, StartedRate: 30_000, MeanStartedRate: 30_000},
+		"waits": {RequestedRate: 50_000, StartedRate: testUnderservedRate, MeanStartedRate: testUnderservedRate},
 	}
 }
 
 // run lets a team request its rate for a time and returns the tokens that were sent.
 func run(s *State[string], from time.Time, span time.Duration, team string, teams map[string]Team) (sent float64) {
-	interval := time.Duration(testSize / teams[team].Asked * float64(time.Second))
+	interval := time.Duration(testSize / teams[team].RequestedRate * float64(time.Second))
 	observed := from
 	for now := from; now.Before(from.Add(span)); now = now.Add(interval) {
 		if now.Sub(observed) >= 50*time.Millisecond {
@@ -55,7 +55,7 @@
 func TestNoTeamIsThrottledWhileNoneIsUnderserved(t *testing.T) {
 	s := New[string](DefaultConfig())
 	teams := twoTeams()
-	teams["waits"] = Team{Asked: testUnderservedRate, BegunLately: testUnderservedRate, Begun: testUnderservedRate}
+	teams["waits"] = Team{RequestedRate: testUnderservedRate, StartedRate: testUnderservedRate, MeanStartedRate: testUnderservedRate}
 	qt.Check(t, run(s, epoch, 4*time.Second, "ahead", teams) >= 390_000, qt.IsTrue)
 	fits := New[string](DefaultConfig())
 	fits.Observe(epoch, math.Inf(1), twoTeams())
@@ -84,8 +84,8 @@
 	run(s, epoch, time.Second, "ahead", twoTeams())
 	qt.Assert(t, math.IsInf(s.Bound(), 1), qt.IsFalse)
 	teams := map[string]Team{
-		"ahead": {Asked: 100_000, Throttled: 88_000, BegunLately: 12_000, Begun: 12_000},
-		"other": {Asked: 50_000, Throttled: 38_000, BegunLately: 12_000, Begun: 12_000},
+		"ahead": {RequestedRate: 100_000, ThrottledRate: 88_000, StartedRate: 12_000, MeanStartedRate: 12_000},
+		"other": {RequestedRate: 50_000, ThrottledRate: 38_000, StartedRate: 12_000, MeanStartedRate: 12_000},
 	}
 	run(s, epoch.Add(time.Second), 3*time.Second, "ahead", teams)
 	qt.Check(t, s.Bound(), qt.Equals, math.Inf(1))
@@ -94,7 +94,7 @@
 // What a flood sent before any router knew of it is repaid; the team's baseline is not.
 func TestBurstIsRepaid(t *testing.T) {
 	balanced := twoTeams()
-	balanced["waits"] = Team{Asked: testUnderservedRate, BegunLately: testUnderservedRate, Begun: testUnderservedRate}
+	balanced["waits"] = Team{RequestedRate: testUnderservedRate, StartedRate: testUnderservedRate, MeanStartedRate: testUnderservedRate}
 	after := func(before time.Duration) float64 {
 		s := New[string](DefaultConfig())
 		run(s, epoch, before, "ahead", balanced)
--- a/protocol/digest/digest.go
+++ b/protocol/digest/digest.go
@@ -144,11 +144,11 @@
 	b = binary.LittleEndian.AppendUint16(b, uint16(len(teams)))
 	for id, u := range teams {
 		b = binary.LittleEndian.AppendUint32(b, uint32(id))
-		b = binary.LittleEndian.AppendUint32(b, whole(u.Asked))
-		b = binary.LittleEndian.AppendUint32(b, whole(u.Begun))
-		b = binary.LittleEndian.AppendUint32(b, whole(u.AskedLately))
-		b = binary.LittleEndian.AppendUint32(b, whole(u.BegunLately))
-		b = binary.LittleEndian.AppendUint32(b, whole(u.ThrottledLately))
+		b = binary.LittleEndian.AppendUint32(b, whole(u.Requested))
+		b = binary.LittleEndian.AppendUint32(b, whole(u.Started))
+		b = binary.LittleEndian.AppendUint32(b, whole(u.RequestedRate))
+		b = binary.LittleEndian.AppendUint32(b, whole(u.StartedRate))
+		b = binary.LittleEndian.AppendUint32(b, whole(u.ThrottledRate))
 	}
 	return b
 }
@@ -256,8 +256,8 @@
 	out := make(map[fairshare.TeamID]fairshare.Use, n)
 	for ; len(parts) > 0; parts = parts[teamSize:] {
 		out[fairshare.TeamID(binary.LittleEndian.Uint32(parts))] = fairshare.Use{
-			Asked: float64(binary.LittleEndian.Uint32(parts[4:])), Begun: float64(binary.LittleEndian.Uint32(parts[8:])),
-			AskedLately: float64(binary.LittleEndian.Uint32(parts[12:])), BegunLately: float64(binary.LittleEndian.Uint32(parts[16:])), ThrottledLately: float64(binary.LittleEndian.Uint32(parts[20:])),
+			Requested: float64(binary.LittleEndian.Uint32(parts[4:])), Started: float64(binary.LittleEndian.Uint32(parts[8:])),
+			RequestedRate: float64(binary.LittleEndian.Uint32(parts[12:])), StartedRate: float64(binary.LittleEndian.Uint32(parts[16:])), ThrottledRate: float64(binary.LittleEndian.Uint32(parts[20:])),
 		}
 	}
 	return out, rest, nil
--- a/protocol/digest/digest_test.go
+++ b/protocol/digest/digest_test.go
@@ -15,7 +15,7 @@
 		Digest: admission.Digest{
 			All:      true,
 			Servers:  map[admission.ServerID]admission.Use{7: {Unread: 12000, Runs: 3}, 9: {Runs: 1}},
-			Teams:    map[fairshare.TeamID]fairshare.Use{4: {Asked: 9000, Begun: 100, AskedLately: 4000, BegunLately: 40, ThrottledLately: 7}},
+			Teams:    map[fairshare.TeamID]fairshare.Use{4: {Requested: 9000, Started: 100, RequestedRate: 4000, StartedRate: 40, ThrottledRate: 7}},
 			Holdings: []admission.Holding{{Server: 7, Part: 1 << 40}, {Server: 9, Part: 3}},
 		},
 	}
--- a/transport/direct/asked_test.go
+++ b/transport/direct/asked_test.go
@@ -29,6 +29,6 @@
 	c.route = c.table.Route("h", "/stream/")
 	c.dispatch(req.Context())
 	qt.Check(t, w.Code, qt.Equals, http.StatusServiceUnavailable)
-	asked := r.admission.Digest(time.Now(), true, true).Teams[fairshare.IDOf("a")].Asked
+	asked := r.admission.Digest(time.Now(), true, true).Teams[fairshare.IDOf("a")].Requested
 	qt.Check(t, asked >= 1000, qt.IsTrue, qt.Commentf("%v tokens", asked))
 }
--- a/transport/sidecar/chooser.go
+++ b/transport/sidecar/chooser.go
@@ -83,7 +83,7 @@
 		address:  address,
 		ejected:  func() bool { return false },
 		reports:  report.New(report.DefaultConfig()),
-		room:     core.Room(),
+		room:     core.Capacity(),
 		show:     func(*share.State) {},
 	}
 }
@@ -162,7 +162,7 @@
 		c.lastShown = now
 		c.show(c.core)
 	}
-	c.broadcast(c.core.Room())
+	c.broadcast(c.core.Capacity())
 }
 
 func (c *chooser) step(ev share.Event) {
@@ -208,7 +208,7 @@
 	return &wire.Load{
 		Slots:       int32(room.Slots),
 		Free:        int32(room.Free),
-		Leaving:     room.Leaving,
+		Leaving:     room.Draining,
 		Waiting:     int32(room.Waiting),
 		Ejected:     c.ejected(),
 		Revision:    c.revision.Revision(),
--- a/transport/sidecar/exchange.go
+++ b/transport/sidecar/exchange.go
@@ -199,7 +199,7 @@
 func (x *exchanger) standing(ctx context.Context) (*wire.Counters, bool) {
 	m := x.envelope()
 	ok := x.ask(ctx, func(core *share.State) {
-		counters, ahead := core.Standing()
+		counters, ahead := core.Snapshot()
 		for _, c := range counters[:min(len(counters), mostStanding)] {
 			w := &wire.Counter{Team: c.Team, Served: c.Served}
 			if c.Writer == x.id {
@@ -214,8 +214,8 @@
 }
 
 // heardOf turns a peer's message into an event of the core.
-func heardOf(m *wire.Counters) share.Heard {
-	ev := share.Heard{Ahead: map[string]float64{}}
+func heardOf(m *wire.Counters) share.CountersReceived {
+	ev := share.CountersReceived{Ahead: map[string]float64{}}
 	for _, c := range m.Counters {
 		lc := ledger.Counter{Writer: c.Writer, Incarnation: c.Incarnation, Team: c.Team, Served: c.Served}
 		if c.Writer == "" {
--- a/transport/sidecar/exchange_test.go
+++ b/transport/sidecar/exchange_test.go
@@ -68,11 +68,11 @@
 // give runs one request of the team to its end.
 func (x *peer) give(team string, attempt uint64, cost float64) {
 	x.core.Step(x.now, share.Offered{Attempt: attempt, Team: team})
-	x.core.Step(x.now, share.Ended{Attempt: attempt, Cost: cost, Whole: true})
+	x.core.Step(x.now, share.Ended{Attempt: attempt, Cost: cost, Completed: true})
 }
 
 func (x *peer) known() map[string]float64 {
-	counters, _ := x.core.Standing()
+	counters, _ := x.core.Snapshot()
 	out := map[string]float64{}
 	for _, c := range counters {
 		out[c.Writer+"/"+c.Incarnation+"/"+c.Team] = c.Served
--- a/transport/sidecar/inform.go
+++ b/transport/sidecar/inform.go
@@ -15,7 +15,7 @@
 	c.inform(report.Changed{Room: report.Room{
 		Slots:   room.Slots,
 		Free:    room.Free,
-		Leaving: room.Leaving,
+		Leaving: room.Draining,
 		Ejected: c.ejected(),
 	}})
 }
--- a/transport/sidecar/leave.go
+++ b/transport/sidecar/leave.go
@@ -24,10 +24,10 @@
 func (s *Sidecar) enter(p leave.Phase) {
 	switch p {
 	case leave.Refusing:
-		s.chooser.post(s.ctx, message{event: share.Left{}})
+		s.chooser.post(s.ctx, message{event: share.ShutdownStarted{}})
 	case leave.Ending:
 		_ = s.log.Log("event", "stop_bound_passed", "held", s.held.Load())
-		s.chooser.post(s.ctx, message{event: share.Left{}})
+		s.chooser.post(s.ctx, message{event: share.ShutdownStarted{}})
 		s.runs.Load().cancelAll(errStopped)
 	case leave.Stopped:
 		s.slot.release()
--- a/transport/sidecar/messages_fuzz_test.go
+++ b/transport/sidecar/messages_fuzz_test.go
@@ -112,7 +112,7 @@
 		core.Step(time.Now(), share.Interest{Router: "probe", Team: "a", Count: 1})
 		core.Step(time.Now(), share.Ticked{})
 		core.TeamCosts(func(team string, cost float64) { c.Check(wire.Amount(cost), qt.Equals, cost, qt.Commentf("%q", team)) })
-		counters, ahead := core.Standing()
+		counters, ahead := core.Snapshot()
 		c.Check(len(counters) <= ledger.DefaultConfig().MaxRemotes+ledger.DefaultConfig().MaxTeams, qt.IsTrue)
 		for _, k := range counters {
 			c.Check(wire.Amount(k.Served), qt.Equals, k.Served)
@@ -267,7 +267,7 @@
 	cfg := share.DefaultConfig()
 	cfg.Ledger.MaxTeams = fuzzTeams
 	core := share.New(cfg)
-	ev := share.Heard{Ahead: map[string]float64{}}
+	ev := share.CountersReceived{Ahead: map[string]float64{}}
 	for i := range 10 * fuzzTeams {
 		team := string(rune('A' + i))
 		ev.Counters = append(ev.Counters, ledger.Counter{Writer: "w", Incarnation: "1", Team: team, Served: 1})
--- a/transport/sidecar/run.go
+++ b/transport/sidecar/run.go
@@ -146,9 +146,9 @@
 // free gives the attempt's slot back.
 func (s *Sidecar) free(a *attempt) {
 	s.chooser.post(s.ctx, message{event: share.Ended{
-		Attempt: a.key,
-		Cost:    a.meter.cost(),
-		Whole:   a.status != 0 && a.meter.settled(),
+		Attempt:   a.key,
+		Cost:      a.meter.cost(),
+		Completed: a.status != 0 && a.meter.settled(),
 	}})
 }
 
