--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -277,7 +277,7 @@
 	d.Verdict = Send
 	d.Source = s.sourceFor(now, req, best, usable)
 	if !req.Sent {
-		s.teams.Begin(now, team, tokens)
+		s.teams.RecordStart(now, team, tokens)
 		s.throttle.Sent(now, team, tokens)
 	}
 	d.Run = s.startRun(now, best.server, best.prefillTokens, req.SharedPrefixes)
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -402,7 +402,7 @@
 	team := fairshare.IDOf("flood")
 	for range 20 {
 		a.teams.Ask(epoch, team, 10000)
-		a.teams.Begin(epoch, team, 10000)
+		a.teams.RecordStart(epoch, team, 10000)
 	}
 	b.ReceiveDigest(epoch, "a", a.Digest(epoch, true, true))
 	b.teams.Ask(epoch, fairshare.IDOf("small"), 100)
--- a/coordination/admission/limit.go
+++ b/coordination/admission/limit.go
@@ -63,14 +63,14 @@
 // syncThrottle passes the demand and usage of the teams to the throttle whenever
 // they were summed anew.
 func (s *State) syncThrottle() {
-	at := s.teams.Leveled()
+	at := s.teams.Updated()
 	if at.Equal(s.throttleUpdated) {
 		return
 	}
 	s.throttleUpdated = at
 	teams := make(map[fairshare.TeamID]throttle.Team)
 	s.teams.Each(func(id fairshare.TeamID, use fairshare.Use) {
-		teams[id] = throttle.Team{Asked: use.AskedLately, BegunLately: use.BegunLately, Throttled: use.ThrottledLately, Begun: use.Begun / s.cfg.Window.Seconds()}
+		teams[id] = throttle.Team{RequestedRate: use.RequestedRate, StartedRate: use.StartedRate, ThrottledRate: use.ThrottledRate, MeanStartedRate: use.Started / s.cfg.Window.Seconds()}
 	})
 	s.throttle.Observe(at, s.teams.Share(), teams)
 }
--- a/coordination/admission/limit_test.go
+++ b/coordination/admission/limit_test.go
@@ -74,7 +74,7 @@
 		s.SetCapacity(25000)
 		flood := fairshare.IDOf("flood")
 		s.teams.Ask(epoch, flood, 200000)
-		s.teams.Begin(epoch, flood, 200000)
+		s.teams.RecordStart(epoch, flood, 200000)
 		for _, srv := range topRanked(s.pool("llm").servers, document.ID, s.cfg.Candidates) {
 			s.startRun(epoch, srv, 60000, nil)
 		}
--- a/coordination/admission/peers.go
+++ b/coordination/admission/peers.go
@@ -91,7 +91,7 @@
 		s.setPeerInFlight(p, id, inFlight)
 	}
 	if d.Teams != nil {
-		s.teams.Reported(now, router, d.Teams)
+		s.teams.SetPeerUse(now, router, d.Teams)
 	}
 }
 
