--- a/coordination/fairshare/meter.go
+++ b/coordination/fairshare/meter.go
@@ -18,7 +18,7 @@
 type Use struct {
 	Requested, Started float64
 	// Rates over about the last second, in tokens per second; they show a flood at once.
-	// ThrottledLately is the part of AskedLately that was refused only because the team is
+	// ThrottledRate is the part of RequestedRate that was refused only because the team is
 	// throttled.
 	RequestedRate, StartedRate, ThrottledRate float64
 }
@@ -120,7 +120,7 @@
 	return w.meanSize
 }
 
-// Begin records a request of the team that was sent to a server.
+// RecordStart records a request of the team that was sent to a server.
 func (m *Meter) RecordStart(now time.Time, team TeamID, tokens float64) {
 	w := m.advance(now, team)
 	w.started[0] += tokens
@@ -139,7 +139,7 @@
 	w.recent.ThrottledRate += tokens / rateTime.Seconds()
 }
 
-// Reported stores the usage of another router's own requests, which replaces its previous
+// SetPeerUse stores the usage of another router's own requests, which replaces its previous
 // report.
 func (m *Meter) SetPeerUse(now time.Time, router string, use map[TeamID]Use) {
 	m.peers[router] = peerUse{received: now, use: use}
@@ -183,7 +183,7 @@
 // of the last second as of the last call of Standing; +Inf while all requests fit.
 func (m *Meter) Share() float64 { return m.shareRate }
 
-// Leveled returns when Standing last summed the usage of all teams.
+// Updated returns when Standing last summed the usage of all teams.
 func (m *Meter) Updated() time.Time { return m.updated }
 
 // Each calls do for each team with its usage at all routers, as of the last call of
--- a/coordination/share/event.go
+++ b/coordination/share/event.go
@@ -52,7 +52,7 @@
 type Ended struct {
 	Attempt uint64
 	Cost    float64
-	// Whole is true if the request ran to its end, so that its cost is learned.
+	// Completed is true if the request ran to its end, so that its cost is learned.
 	Completed bool
 }
 
@@ -62,7 +62,7 @@
 // SlotsSet changes the number of slots.
 type SlotsSet struct{ Slots int }
 
-// Heard is a message from another sidecar of the pool.
+// CountersReceived is a message from another sidecar of the pool.
 type CountersReceived struct {
 	Counters []ledger.Counter
 	// Ahead is, per team, how far it is ahead of the smallest virtual service at the other
@@ -70,7 +70,7 @@
 	Ahead map[string]float64
 }
 
-// Left stops all new work permanently.
+// ShutdownStarted stops all new work permanently.
 type ShutdownStarted struct{}
 
 // Drained stops new work or allows it again, as the configuration says.
--- a/coordination/share/remote.go
+++ b/coordination/share/remote.go
@@ -112,7 +112,7 @@
 	return out
 }
 
-// Standing returns all known counters, and how far each backlogged team is ahead of the
+// Snapshot returns all known counters, and how far each backlogged team is ahead of the
 // smallest virtual service, for a sidecar that restarted.
 func (s *State) Snapshot() ([]ledger.Counter, map[string]float64) {
 	ahead := map[string]float64{}
--- a/coordination/share/share.go
+++ b/coordination/share/share.go
@@ -137,7 +137,7 @@
 // isDraining reports whether the sidecar is shutting down or drained.
 func (s *State) isDraining() bool { return s.shuttingDown || s.drained }
 
-// Room returns the present capacity, for the periodic report.
+// Capacity returns the present capacity, for the periodic report.
 func (s *State) Capacity() Report {
 	r := Report{Slots: s.slots, Draining: s.isDraining(), Waiting: len(s.ready)}
 	if !s.closed() {
--- a/coordination/throttle/throttle.go
+++ b/coordination/throttle/throttle.go
@@ -98,10 +98,10 @@
 
 // Team is what a team requests and gets from the whole fleet, in tokens per second.
 type Team struct {
-	// Asked, BegunLately and Throttled are rates of about the last second. Throttled is
-	// the part of Asked that was refused only because the team is throttled.
+	// Rates over about the last second. ThrottledRate is the part of RequestedRate that was
+	// refused only because the team is throttled.
 	RequestedRate, StartedRate, ThrottledRate float64
-	// Begun is the mean over the window in which teams are compared.
+	// MeanStartedRate is the mean over the window in which teams are compared.
 	MeanStartedRate float64
 }
 
