--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -10,33 +10,33 @@
 // State is the state of one process's claim writer. It must be used by one
 // goroutine at a time.
 type State struct {
-	cfg    Config
-	rng    *rand.Rand
-	shards [claims.Shards]*shard
-	guest  bucket
-	// steps counts the events, to order what happens at one time.
-	steps uint64
-	out   []Action
+	cfg           Config
+	rng           *rand.Rand
+	shards        [claims.Shards]*shard
+	nonHomeWrites tokenBucket
+	// steps counts the events, to order those that have the same time.
+	steps   uint64
+	actions []Action
 }
 
-// New returns a state that knows nothing. The config must be valid.
+// New returns a state that has read no shard yet. The config must be valid.
 func New(cfg Config) *State {
 	s := &State{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^0x9e3779b97f4a7c15))}
 	for i := range s.shards {
 		s.shards[i] = &shard{id: i, stale: true}
 	}
-	s.guest.setRate(cfg.Budget)
+	s.nonHomeWrites.setRate(cfg.Budget)
 	return s
 }
 
 // Step applies one event at the time now and returns the actions to perform,
 // in order. The slice is valid until the next call.
 func (s *State) Step(now time.Time, ev Event) []Action {
-	s.out = s.out[:0]
+	s.actions = s.actions[:0]
 	s.steps++
 	switch ev := ev.(type) {
 	case Asked:
-		s.asked(now, ev.Call)
+		s.callReceived(now, ev.Call)
 	case ReadDone:
 		s.readDone(now, ev)
 	case WriteDone:
@@ -46,13 +46,13 @@
 	case SegmentDone:
 		s.segmentDone(now, ev)
 	case HomesSet:
-		s.homesSet(ev)
+		s.homesChanged(ev)
 	case Flushed:
 		s.flush(now)
 	case Ticked:
 		s.tick(now)
 	}
-	return s.out
+	return s.actions
 }
 
 // Pending returns the number of calls that have no answer yet.
@@ -64,9 +64,9 @@
 	return n
 }
 
-func (s *State) emit(a Action) { s.out = append(s.out, a) }
+func (s *State) emit(a Action) { s.actions = append(s.actions, a) }
 
-func (s *State) answer(c *waiting, v verdict) {
+func (s *State) answer(c *pendingCall, v decision) {
 	if c.answered {
 		return
 	}
@@ -74,22 +74,22 @@
 	s.emit(Answer{Call: c.call.ID, Verdict: v.verdict, Record: v.record})
 }
 
-func (s *State) asked(now time.Time, c Call) {
+func (s *State) callReceived(now time.Time, c Call) {
 	sh := s.shards[c.Key.Shard()]
-	w := &waiting{call: c, arrived: now, step: s.steps}
+	w := &pendingCall{call: c, arrived: now, step: s.steps}
 	if len(sh.pending) >= s.cfg.MaxPending || sh.retryAt.After(c.Deadline) {
-		s.answer(w, verdict{verdict: Unavailable})
+		s.answer(w, decision{verdict: Unavailable})
 		return
 	}
 	sh.pending = append(sh.pending, w)
 	s.advance(now, sh)
 }
 
-func (s *State) homesSet(ev HomesSet) {
+func (s *State) homesChanged(ev HomesSet) {
 	for i, sh := range s.shards {
 		sh.home = ev.Home[i]
 	}
-	s.guest.setRate(s.cfg.Budget / float64(max(1, ev.Routers)))
+	s.nonHomeWrites.setRate(s.cfg.Budget / float64(max(1, ev.Routers)))
 }
 
 func (s *State) flush(now time.Time) {
@@ -108,46 +108,46 @@
 	}
 }
 
-// expire answers the calls that nobody waits for any longer. Those in a write
-// on the way may still take effect, as Unavailable says.
+// expire answers Unavailable to the calls whose deadline has passed. Those in
+// an in-flight write may still take effect, as Unavailable documents.
 func (s *State) expire(now time.Time, sh *shard) {
 	for _, w := range sh.writing {
 		if now.After(w.call.Deadline) {
-			s.answer(w, verdict{verdict: Unavailable})
+			s.answer(w, decision{verdict: Unavailable})
 		}
 	}
-	kept := sh.pending[:0]
+	remaining := sh.pending[:0]
 	for _, w := range sh.pending {
 		if now.After(w.call.Deadline) {
-			s.answer(w, verdict{verdict: Unavailable})
+			s.answer(w, decision{verdict: Unavailable})
 			continue
 		}
-		kept = append(kept, w)
+		remaining = append(remaining, w)
 	}
-	clear(sh.pending[len(kept):])
-	sh.pending = kept
+	clear(sh.pending[len(remaining):])
+	sh.pending = remaining
 }
 
-// advance starts the next platform call of a shard if there is need and room
-// for one.
+// advance starts the next platform call of a shard if one is needed and none
+// is in flight or delayed.
 func (s *State) advance(now time.Time, sh *shard) {
 	if sh.busy || len(sh.pending) == 0 || now.Before(sh.retryAt) {
 		return
 	}
-	if sh.stale || sh.wantsFresh() {
+	if sh.stale || sh.needsRead() {
 		s.read(sh)
 		return
 	}
-	if id := s.missing(now, sh); id != "" {
+	if id := s.unreadSegment(now, sh); id != "" {
 		sh.busy = true
 		s.emit(ReadSegment{Shard: sh.id, ID: id})
 		return
 	}
-	s.settle(now, sh)
+	s.answerWithoutWrite(now, sh)
 	if sh.busy || len(sh.pending) == 0 || now.Before(sh.writeAt) || !s.writeDue(now, sh) {
 		return
 	}
-	if !sh.home && !s.guest.take(now) {
+	if !sh.home && !s.nonHomeWrites.take(now) {
 		return
 	}
 	if !s.seal(now, sh) {
@@ -157,16 +157,16 @@
 
 func (s *State) read(sh *shard) {
 	sh.busy = true
-	sh.began = s.steps
+	sh.callStep = s.steps
 	s.emit(Read{Shard: sh.id})
 }
 
-// readEnded ends a read of the shard or of a segment and reports whether it
-// brought something; if not, it is made again after a pause.
-func (s *State) readEnded(now time.Time, sh *shard, result CallResult) bool {
+// finishRead ends a read of the shard or of a segment and reports whether it
+// succeeded; a failed read is retried after a backoff.
+func (s *State) finishRead(now time.Time, sh *shard, result CallResult) bool {
 	sh.busy = false
 	if result != OK {
-		sh.retryAt = s.after(now, sh.failures)
+		sh.retryAt = s.backoffEnd(now, sh.failures)
 		sh.failures++
 		return false
 	}
@@ -176,41 +176,41 @@
 
 func (s *State) readDone(now time.Time, ev ReadDone) {
 	sh := s.shards[ev.Shard]
-	if !s.readEnded(now, sh, ev.Result) {
+	if !s.finishRead(now, sh, ev.Result) {
 		return
 	}
 	sh.stale = false
 	sh.table = ev.Table
 	sh.version = ev.Version
-	sh.forget()
-	sh.fresh = sh.began
+	sh.dropUnreferenced()
+	sh.currentAt = sh.callStep
 	s.advance(now, sh)
 }
 
-// settle answers the calls that need no write. A call whose key an earlier
-// waiting call may change has to wait for that one. That a result or a release
-// needs no write is said only after a read begun since: the claim may have
-// been written by another process, and forgetting its result would let the
-// key run again.
-func (s *State) settle(now time.Time, sh *shard) {
-	dirty := map[claims.Key]bool{}
-	kept := sh.pending[:0]
+// answerWithoutWrite answers the calls that need no write. A call whose key an
+// earlier pending call may change waits for that call. A Finish or Release that
+// appears to need no write is answered only after a read started since the call
+// arrived: another process may have written the claim, and dropping its result
+// would let the request run again.
+func (s *State) answerWithoutWrite(now time.Time, sh *shard) {
+	changedKeys := map[claims.Key]bool{}
+	remaining := sh.pending[:0]
 	for _, w := range sh.pending {
 		v, change := s.decide(now, sh.lookup(w.call.Key), w.call)
-		if change == nil && v.verdict == Done && sh.fresh < w.step {
+		if change == nil && v.verdict == Done && sh.currentAt < w.step {
 			w.call.Fresh = true
-			change = keep
+			change = awaitRead
 		}
-		if change == nil && !dirty[w.call.Key] {
+		if change == nil && !changedKeys[w.call.Key] {
 			s.answer(w, v)
 			continue
 		}
-		dirty[w.call.Key] = true
-		kept = append(kept, w)
+		changedKeys[w.call.Key] = true
+		remaining = append(remaining, w)
 	}
-	clear(sh.pending[len(kept):])
-	sh.pending = kept
-	if sh.wantsFresh() {
+	clear(sh.pending[len(remaining):])
+	sh.pending = remaining
+	if sh.needsRead() {
 		s.read(sh)
 	}
 }
--- a/coordination/claim/claim_test.go
+++ b/coordination/claim/claim_test.go
@@ -11,15 +11,15 @@
 	"goldcrestport/state/claims"
 )
 
-// store is a platform shard whose writes may be lost before or after, or take
-// effect late.
+// store is a platform shard. The test loses a write before or after it takes
+// effect, or delays the effect.
 type store struct {
 	version  uint64
 	value    []byte
 	segments map[string][]byte
 }
 
-// find returns the key's record, wherever it stands.
+// find returns the key's record from the shard's value or one of its segments.
 func (s *store) find(t *rapid.T, k claims.Key) (claims.Record, bool) {
 	table := s.table(t)
 	if r, ok := table.Records[k]; ok {
@@ -28,7 +28,7 @@
 	for _, g := range table.Sealed {
 		segment, err := claims.Decode(s.segments[g.ID])
 		if err != nil || len(s.segments[g.ID]) == 0 {
-			t.Fatalf("segment %s is named but not written", g.ID)
+			t.Fatalf("the shard references segment %s, which was not written", g.ID)
 		}
 		if r, ok := segment.Records[k]; ok {
 			return r, true
@@ -54,30 +54,31 @@
 	return table
 }
 
-// machine drives two writers of one shard against the store.
+// machine runs two writers of one shard against the store.
 type machine struct {
-	now     time.Time
-	store   store
-	late    []Write
-	writers [2]*State
-	calls   [2][]Action // platform calls on the way
-	open    map[uint64]Call
-	granted []Call          // to be finished or released
-	once    map[string]bool // attempts that were granted
-	ended   map[claims.Key]bool
-	lastID  uint64
-	keys    []claims.Key
+	now             time.Time
+	store           store
+	delayed         []Write
+	writers         [2]*State
+	inFlight        [2][]Action // in-flight platform calls
+	unanswered      map[uint64]Call
+	granted         []Call          // to be finished or released
+	grantedAttempts map[string]bool // attempts granted so far
+	ended           map[claims.Key]bool
+	lastID          uint64
+	keys            []claims.Key
 }
 
 func newMachine() *machine {
-	m := &machine{now: time.Unix(1_800_000_000, 0), store: store{segments: map[string][]byte{}}, open: map[uint64]Call{}, once: map[string]bool{}, ended: map[claims.Key]bool{}}
+	m := &machine{now: time.Unix(1_800_000_000, 0), store: store{segments: map[string][]byte{}}, unanswered: map[uint64]Call{}, grantedAttempts: map[string]bool{}, ended: map[claims.Key]bool{}}
 	for i := range m.writers {
 		cfg := DefaultConfig()
 		cfg.Seed = uint64(i)
 		cfg.SealBytes = 150 // two keys
 		m.writers[i] = New(cfg)
 	}
-	// The second writer is a guest, as after a change of the instance list.
+	// The second writer is not the shard's home, as after a change of the
+	// instance list.
 	home := HomesSet{Routers: 2}
 	for i := range home.Home {
 		home.Home[i] = true
@@ -95,9 +96,9 @@
 	for _, a := range m.writers[w].Step(m.now, ev) {
 		answer, ok := a.(Answer)
 		if !ok {
-			m.calls[w] = append(m.calls[w], a)
-			if len(m.calls[w]) > 1 {
-				t.Fatalf("two platform calls on the way: %v", m.calls[w])
+			m.inFlight[w] = append(m.inFlight[w], a)
+			if len(m.inFlight[w]) > 1 {
+				t.Fatalf("two platform calls in flight: %v", m.inFlight[w])
 			}
 			continue
 		}
@@ -105,26 +106,26 @@
 	}
 }
 
-// check holds an answer against what the store has.
+// check compares an answer with the records in the store.
 func (m *machine) check(t *rapid.T, a Answer) {
-	c, open := m.open[a.Call]
+	c, open := m.unanswered[a.Call]
 	if !open {
-		t.Fatalf("answer to a call that is not open: %v", a)
+		t.Fatalf("answer to a call that is not pending: %v", a)
 	}
-	delete(m.open, a.Call)
+	delete(m.unanswered, a.Call)
 	r, found := m.store.find(t, c.Key)
-	holds := found && r.State == claims.Claimed && r.Attempt == c.Attempt
-	if a.Verdict == Granted && !m.once[c.Attempt] {
-		m.once[c.Attempt] = true
+	claimed := found && r.State == claims.Claimed && r.Attempt == c.Attempt
+	if a.Verdict == Granted && !m.grantedAttempts[c.Attempt] {
+		m.grantedAttempts[c.Attempt] = true
 		m.granted = append(m.granted, c)
-		if !holds {
+		if !claimed {
 			t.Fatalf("granted, but the record is %+v", r)
 		}
 		if m.ended[c.Key] {
 			t.Fatalf("granted, but the key has a result")
 		}
 	}
-	if a.Verdict == Done && c.Kind == Finish && holds {
+	if a.Verdict == Done && c.Kind == Finish && claimed {
 		t.Fatalf("finish is done, but the record is %+v", r)
 	}
 	if a.Verdict == Done && found && r.State == claims.Finished {
@@ -132,7 +133,7 @@
 	}
 }
 
-func (m *machine) ask(t *rapid.T) {
+func (m *machine) submitCall(t *rapid.T) {
 	m.lastID++
 	c := Call{
 		ID:       m.lastID,
@@ -142,18 +143,18 @@
 		Attempt:  fmt.Sprint("attempt-", m.lastID),
 		Deadline: m.now.Add(time.Duration(rapid.IntRange(10, 1500).Draw(t, "wait")) * time.Millisecond),
 	}
-	m.open[c.ID] = c
+	m.unanswered[c.ID] = c
 	m.step(t, 0, Asked{Call: c})
 	if rapid.Bool().Draw(t, "at both") {
 		m.lastID++
 		c.ID = m.lastID
-		m.open[c.ID] = c
+		m.unanswered[c.ID] = c
 		m.step(t, 1, Asked{Call: c})
 	}
 }
 
-// conclude ends a granted attempt at either writer.
-func (m *machine) conclude(t *rapid.T) {
+// finishOrRelease ends a granted attempt at either writer.
+func (m *machine) finishOrRelease(t *rapid.T) {
 	if len(m.granted) == 0 {
 		return
 	}
@@ -164,18 +165,18 @@
 	c.Kind = rapid.SampledFrom([]Kind{Finish, Release}).Draw(t, "kind")
 	c.Result = claims.Result{Outcome: "completed", Status: 200}
 	c.Deadline = m.now.Add(time.Duration(rapid.IntRange(10, 3000).Draw(t, "wait")) * time.Millisecond)
-	m.open[c.ID] = c
+	m.unanswered[c.ID] = c
 	m.step(t, rapid.IntRange(0, 1).Draw(t, "writer"), Asked{Call: c})
 }
 
-// end brings one platform call to an end in one of the ways that can happen.
-func (m *machine) end(t *rapid.T) {
+// completeCall completes one platform call, with or without a fault.
+func (m *machine) completeCall(t *rapid.T) {
 	w := rapid.IntRange(0, 1).Draw(t, "writer")
-	if len(m.calls[w]) == 0 {
+	if len(m.inFlight[w]) == 0 {
 		return
 	}
-	call := m.calls[w][0]
-	m.calls[w] = nil
+	call := m.inFlight[w][0]
+	m.inFlight[w] = nil
 	fault := rapid.SampledFrom([]string{"", "", "", "refused", "lost before", "lost after", "late"}).Draw(t, "fault")
 	switch call := call.(type) {
 	case Read:
@@ -204,11 +205,11 @@
 		}
 		m.step(t, w, SealDone{Shard: call.Shard, Result: result})
 	case Write:
-		m.endWrite(t, w, call, fault)
+		m.completeWrite(t, w, call, fault)
 	}
 }
 
-func (m *machine) endWrite(t *rapid.T, w int, call Write, fault string) {
+func (m *machine) completeWrite(t *rapid.T, w int, call Write, fault string) {
 	done := WriteDone{Shard: call.Shard, Result: Lost}
 	switch fault {
 	case "":
@@ -219,52 +220,52 @@
 	case "lost after":
 		m.store.put(call)
 	case "late":
-		m.late = append(m.late, call)
+		m.delayed = append(m.delayed, call)
 	}
 	m.step(t, w, done)
 }
 
-func (m *machine) land(*rapid.T) {
-	if len(m.late) > 0 {
-		m.store.put(m.late[0])
-		m.late = m.late[1:]
+func (m *machine) deliverDelayed(*rapid.T) {
+	if len(m.delayed) > 0 {
+		m.store.put(m.delayed[0])
+		m.delayed = m.delayed[1:]
 	}
 }
 
-func (m *machine) pass(t *rapid.T) {
+func (m *machine) advanceTime(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond)
 	for w := range m.writers {
 		m.step(t, w, Ticked{})
 	}
 }
 
-// TestAnswersMatchTheStore checks that each call gets one answer, that a
-// grant and a done are true in the store when they are given, and that a
-// shard has one platform call on the way at most.
+// TestAnswersMatchTheStore checks that each call gets exactly one answer, that
+// Granted and Done match the store when they are given, and that a shard has at
+// most one platform call in flight.
 func TestAnswersMatchTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine()
 		t.Repeat(map[string]func(*rapid.T){
-			"ask":  m.ask,
-			"done": m.conclude,
-			"end":  m.end,
-			"end2": m.end,
-			"land": m.land,
-			"pass": m.pass,
+			"submit":            m.submitCall,
+			"finish or release": m.finishOrRelease,
+			"complete":          m.completeCall,
+			"complete again":    m.completeCall,
+			"deliver delayed":   m.deliverDelayed,
+			"advance time":      m.advanceTime,
 		})
 		m.now = m.now.Add(time.Minute)
 		for w := range m.writers {
 			m.step(t, w, Ticked{})
 		}
-		if len(m.open) > 0 {
-			t.Fatalf("calls without an answer: %v", m.open)
+		if len(m.unanswered) > 0 {
+			t.Fatalf("calls without an answer after their deadline: %v", m.unanswered)
 		}
 	})
 }
 
-// TestGroupsAndPaces checks that many calls share a write and that writes of
-// a shard keep their gap.
-func TestGroupsAndPaces(t *testing.T) {
+// TestWritesAreBatchedAndSpaced checks that concurrent calls share one write
+// and that writes of a shard are at least Gap apart.
+func TestWritesAreBatchedAndSpaced(t *testing.T) {
 	c := quicktest.New(t)
 	m := newMachine()
 	w := m.writers[0]
@@ -274,10 +275,10 @@
 	actions = w.Step(m.now, ReadDone{Result: OK, Table: &claims.Table{}})
 	c.Assert(actions, quicktest.HasLen, 1)
 	for id := uint64(2); id < 12; id++ {
-		k := claims.Key(string(m.keys[1])) // the same key: one grant, the others held
+		k := claims.Key(string(m.keys[1])) // the same key: one call is granted, the others get Held
 		c.Assert(w.Step(m.now, Asked{Call{ID: id, Kind: Acquire, Key: k, Attempt: string(rune('a' + id)), Deadline: m.now.Add(time.Second)}}), quicktest.HasLen, 0)
 	}
-	c.Assert(w.Step(m.now, WriteDone{Result: OK, Version: 1}), quicktest.HasLen, 1, quicktest.Commentf("the first call's answer; the next write waits for its gap"))
+	c.Assert(w.Step(m.now, WriteDone{Result: OK, Version: 1}), quicktest.HasLen, 1, quicktest.Commentf("the first call's answer; the next write waits until Gap has passed"))
 	c.Assert(w.Step(m.now.Add(99*time.Millisecond), Ticked{}), quicktest.HasLen, 0)
 	actions = w.Step(m.now.Add(100*time.Millisecond), Ticked{})
 	c.Assert(actions, quicktest.HasLen, 1)
@@ -289,8 +290,8 @@
 	c.Assert(verdicts, quicktest.DeepEquals, map[Verdict]int{Granted: 1, Held: 9})
 }
 
-// TestFullShardRefusesNewKeys checks that a value near its limit takes results
-// and releases but no new key.
+// TestFullShardRefusesNewKeys checks that a shard value near its size limit
+// accepts results and releases but no new key.
 func TestFullShardRefusesNewKeys(t *testing.T) {
 	c := quicktest.New(t)
 	m := newMachine()
--- a/coordination/claim/config.go
+++ b/coordination/claim/config.go
@@ -1,6 +1,6 @@
 // Package claim decides how claims on idempotency keys are written to the
-// platform's key-value service: which are granted, which calls are grouped
-// into one compare-and-swap, and when a shard is read again.
+// platform's key-value service: which claims are granted, which calls are
+// batched into one compare-and-swap, and when a shard is read again.
 //
 // State is a pure state machine: Step takes an event and the time and returns
 // the actions to perform. The driver is transport/claims.
@@ -14,39 +14,40 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config holds the bounds of the claims.
+// Config holds the limits and intervals of the claim writer.
 type Config struct {
-	// Gap is the least time between two writes of one shard by its home, in
-	// nanoseconds. All shards together make Shards/Gap writes a second at
-	// most. Default 100ms: 160 writes a second.
+	// Gap is the minimum time between two writes of one shard by its home
+	// router, in nanoseconds. All shards together make at most Shards/Gap
+	// writes per second. Default 100ms: 160 writes per second.
 	Gap time.Duration
-	// FinishDelay is how long a result waits for a claim to be written with,
-	// in nanoseconds. Default 1s.
+	// FinishDelay is how long a result is held back so that it can share a
+	// write with a claim, in nanoseconds. Default 1s.
 	FinishDelay time.Duration
-	// Backoff is the first pause of a shard after a write that was refused or
-	// not answered, in nanoseconds; it doubles up to BackoffMax. Default 50ms.
+	// Backoff is the initial retry delay of a shard after a failed or
+	// unanswered call, in nanoseconds; it doubles up to BackoffMax. Default
+	// 50ms.
 	Backoff time.Duration
-	// BackoffMax bounds the pause, in nanoseconds. Default 1s.
+	// BackoffMax is the maximum retry delay, in nanoseconds. Default 1s.
 	BackoffMax time.Duration
-	// Expiry is how long a key is remembered, in nanoseconds. It must exceed
-	// every request deadline and clock difference. Default 23h.
+	// Expiry is how long the record of a key is kept, in nanoseconds. It must
+	// exceed every request deadline plus the clock skew. Default 23h.
 	Expiry time.Duration
-	// MaxBytes bounds the stored value of one shard, in bytes. The platform
-	// holds 1 MiB. Default 1000 KiB.
+	// MaxBytes limits the stored value of one shard, in bytes. The platform
+	// accepts values up to 1 MiB. Default 1000 KiB.
 	MaxBytes int
-	// SealBytes is the size of a shard's value, in bytes, from which its ended
-	// records move to a segment of their own, so that each write stays small.
+	// SealBytes is the size of a shard's value, in bytes, at which its ended
+	// records are moved to a separate segment, so that each write stays small.
 	// Default 64 KiB.
 	SealBytes int
-	// MaxSealed bounds the segments of one shard. With Shards and SealBytes it
-	// bounds the keys that are remembered. Default 256.
+	// MaxSealed limits the segments of one shard. Together with Shards and
+	// SealBytes it limits the number of keys that are kept. Default 256.
 	MaxSealed int
-	// MaxPending bounds the calls that wait at one shard. Default 4096.
+	// MaxPending limits the pending calls of one shard. Default 4096.
 	MaxPending int
-	// Budget is the rate of writes that all routers together make for shards
-	// whose home does not answer, per second. Default 40.
+	// Budget is the total rate of writes, over all routers, to shards whose
+	// home router does not answer, per second. Default 40.
 	Budget float64
-	// Seed of the random part of a pause.
+	// Seed of the jitter of retry delays.
 	Seed uint64
 }
 
@@ -66,7 +67,7 @@
 	}
 }
 
-// minExpiry is twice the longest deadline of a request (protocol/settings).
+// minExpiry is twice the maximum request deadline (protocol/settings).
 const minExpiry = 20 * time.Minute
 
 // Validate returns an error that names each field out of range.
@@ -82,8 +83,8 @@
 	check(c.Backoff > 0, "Backoff must be positive")
 	check(c.BackoffMax >= c.Backoff, "BackoffMax must be at least Backoff")
 	check(c.Expiry >= minExpiry, "Expiry must be at least 20m")
-	check(c.MaxBytes > 0 && c.MaxBytes <= 1<<20, "MaxBytes must lie in 1..1048576")
-	check(c.SealBytes > 0 && c.SealBytes <= c.MaxBytes, "SealBytes must lie in 1..MaxBytes")
+	check(c.MaxBytes > 0 && c.MaxBytes <= 1<<20, "MaxBytes must be in 1..1048576")
+	check(c.SealBytes > 0 && c.SealBytes <= c.MaxBytes, "SealBytes must be in 1..MaxBytes")
 	check(c.MaxSealed >= 0, "MaxSealed must not be negative")
 	check(c.MaxPending > 0, "MaxPending must be positive")
 	check(c.Budget > 0, "Budget must be positive")
--- a/coordination/claim/event.go
+++ b/coordination/claim/event.go
@@ -6,19 +6,19 @@
 	"goldcrestport/state/claims"
 )
 
-// Kind of a call.
+// Kind is the operation that a Call requests.
 type Kind uint8
 
 const (
 	// Acquire claims a key for an attempt.
 	Acquire Kind = iota + 1
-	// Finish records the result of the attempt that holds the key.
+	// Finish records the result of the attempt that has claimed the key.
 	Finish
-	// Release gives the key of an attempt up that was not run.
+	// Release removes the claim of an attempt that was not run.
 	Release
 )
 
-// Call asks for one change of a record.
+// Call requests one change of a record.
 type Call struct {
 	// ID is unique within the process; the Answer carries it.
 	ID       uint64
@@ -27,14 +27,14 @@
 	Digest   string
 	Attempt  string
 	Executor claims.Executor
-	// Over names an attempt whose claim may be replaced, since its executor
-	// said that it was not run and never will be. Acquire only.
+	// Over names an attempt whose claim may be replaced, because its executor
+	// reported that it was not run and never will be. Acquire only.
 	Over string
-	// Fresh asks for an answer that rests on a read begun after the call.
+	// Fresh requires an answer based on a read started after the call.
 	Fresh bool
 	// Result of the attempt. Finish only.
 	Result claims.Result
-	// Deadline after which nobody waits for the answer.
+	// Deadline after which the caller no longer waits for the answer.
 	Deadline time.Time
 }
 
@@ -44,17 +44,17 @@
 const (
 	// Granted means that the record names this attempt: it may be dispatched.
 	Granted Verdict = iota + 1
-	// Held means that another attempt holds the key.
+	// Held means that another attempt has claimed the key.
 	Held
-	// Replayed means that the key has a result already.
+	// Replayed means that the key already has a result, which is in the record.
 	Replayed
-	// Reused means that the key belongs to another request body.
+	// Reused means that the key was used with a different request body.
 	Reused
-	// Done means that a Finish or Release is in the record, or that the
-	// record has no use of it.
+	// Done means that a Finish or Release has been recorded, or that the
+	// record doesn't need it, as the attempt has no claim on the key.
 	Done
-	// Unavailable means that the change could not be made in time. It may
-	// still take effect, so that the attempt must not be dispatched.
+	// Unavailable means that the change was not confirmed in time. It may
+	// still take effect, so the attempt must not be dispatched.
 	Unavailable
 	// Full means that the shard has no room for another key.
 	Full
@@ -66,7 +66,7 @@
 // Asked is a new call.
 type Asked struct{ Call Call }
 
-// Result of a platform call.
+// CallResult is the result of a platform call.
 type CallResult uint8
 
 const (
@@ -74,12 +74,14 @@
 	OK CallResult = iota + 1
 	// Conflict means that the shard has another version: nothing was written.
 	Conflict
-	// Refused means that the rate was exceeded: nothing was written.
+	// Refused means that the platform's rate limit was exceeded: nothing was
+	// written.
 	Refused
-	// TooLarge means that the value is too large: nothing was written.
+	// TooLarge means that the value exceeds the platform's limit: nothing was
+	// written.
 	TooLarge
-	// Lost means that no answer came: the call may have taken effect, now or
-	// later.
+	// Lost means that no answer was received: the call may have taken effect
+	// or may take effect later.
 	Lost
 )
 
@@ -112,16 +114,18 @@
 	Table  *claims.Table
 }
 
-// HomesSet tells which shards have their home here and how many routers live.
+// HomesSet reports the shards whose home is this router, and the number of
+// running routers.
 type HomesSet struct {
 	Home    [claims.Shards]bool
 	Routers int
 }
 
-// Flushed makes every waiting result due at once, as before a planned stop.
+// Flushed makes every pending result due for a write immediately, as before a
+// planned shutdown.
 type Flushed struct{}
 
-// Ticked lets time pass.
+// Ticked reports that time has passed.
 type Ticked struct{}
 
 func (Asked) isEvent()       {}
@@ -136,33 +140,34 @@
 // Action is an output of State.Step that the driver performs.
 type Action interface{ isAction() }
 
-// Read reads a shard and comes back as ReadDone.
+// Read reads a shard; ReadDone reports the result.
 type Read struct{ Shard int }
 
-// Write replaces the shard if it has the version and comes back as WriteDone.
+// Write replaces the shard's value by compare-and-swap on the version; WriteDone
+// reports the result.
 type Write struct {
 	Shard   int
 	Version uint64
 	Value   []byte
-	// Calls is the number of calls grouped in the write.
+	// Calls is the number of calls batched in the write.
 	Calls int
 }
 
-// Seal writes a new segment, which must not exist, and comes back as SealDone.
-// Nothing names the segment yet; it may be dropped once Expiry has passed.
+// Seal writes a new segment, which must not exist; SealDone reports the result.
+// No shard references the segment yet; it may be deleted after Expiry.
 type Seal struct {
 	Shard int
 	ID    string
 	Value []byte
 }
 
-// ReadSegment reads a segment and comes back as SegmentDone.
+// ReadSegment reads a segment; SegmentDone reports the result.
 type ReadSegment struct {
 	Shard int
 	ID    string
 }
 
-// Answer ends a call. Record is set for Held and Replayed.
+// Answer answers a call. Record is set for Held, Replayed and Reused.
 type Answer struct {
 	Call    uint64
 	Verdict Verdict
--- a/coordination/claim/home.go
+++ b/coordination/claim/home.go
@@ -9,22 +9,23 @@
 )
 
 // Rank orders the routers for a shard by rendezvous hashing: the first is the
-// shard's home, the next one steps in when it does not answer. Routers whose
-// lists differ may disagree; compare-and-swap keeps that safe.
+// shard's home, the following ones are its fallbacks while it does not answer.
+// Routers whose instance lists differ may disagree on the order;
+// compare-and-swap keeps that safe.
 func Rank(shard int, routers []string) []string {
 	type ranked struct {
 		id     string
 		weight uint64
 	}
-	all := make([]ranked, 0, len(routers))
+	byWeight := make([]ranked, 0, len(routers))
 	for _, id := range routers {
-		all = append(all, ranked{id, weight(shard, id)})
+		byWeight = append(byWeight, ranked{id, weight(shard, id)})
 	}
-	slices.SortFunc(all, func(a, b ranked) int {
+	slices.SortFunc(byWeight, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.id, b.id))
 	})
-	out := make([]string, len(all))
-	for i, r := range all {
+	out := make([]string, len(byWeight))
+	for i, r := range byWeight {
 		out[i] = r.id
 	}
 	return out
--- a/coordination/claim/seal.go
+++ b/coordination/claim/seal.go
@@ -7,31 +7,33 @@
 	"goldcrestport/state/claims"
 )
 
-// sealing is a segment on its way out of a shard's value.
-type sealing struct {
+// pendingSegment is a segment whose records are being moved out of a shard's
+// value.
+type pendingSegment struct {
 	segment claims.Segment
 	table   *claims.Table
-	// version of the shard's value that the records were taken from.
+	// version of the shard's value that the records were copied from.
 	version uint64
-	// stored tells that the segment is written, so that it may be named.
+	// stored is true once the segment is written and may be referenced.
 	stored bool
 }
 
-// noSegment stands for a segment that has expired.
-var noSegment = &claims.Table{}
+// emptySegment replaces a segment that has expired.
+var emptySegment = &claims.Table{}
 
-// segment returns the records of a segment. All that have not expired were
-// read before the shard is looked at.
+// segment returns the records of a segment. All segments that have not expired
+// are read before the shard's records are used.
 func (sh *shard) segment(g claims.Segment) *claims.Table {
 	if t := sh.segments[g.ID]; t != nil {
 		return t
 	}
-	return noSegment
+	return emptySegment
 }
 
-// missing returns a segment that must be read before the shard's records are
-// known: a key may not be granted while it may stand in an unread segment.
-func (s *State) missing(now time.Time, sh *shard) string {
+// unreadSegment returns the id of a segment that must be read before any key of
+// the shard is decided, or "": a key must not be granted while an unread segment
+// may contain it.
+func (s *State) unreadSegment(now time.Time, sh *shard) string {
 	for _, g := range sh.table.Sealed {
 		if sh.segments[g.ID] == nil && !g.Expired(now, s.cfg.Expiry) {
 			return g.ID
@@ -40,20 +42,20 @@
 	return ""
 }
 
-// forget drops the segments that the table does not name any more.
-func (sh *shard) forget() {
-	kept := map[string]*claims.Table{}
+// dropUnreferenced drops the segments that the table no longer references.
+func (sh *shard) dropUnreferenced() {
+	referenced := map[string]*claims.Table{}
 	for _, g := range sh.table.Sealed {
 		if t := sh.segments[g.ID]; t != nil {
-			kept[g.ID] = t
+			referenced[g.ID] = t
 		}
 	}
-	sh.segments = kept
+	sh.segments = referenced
 }
 
 func (s *State) segmentDone(now time.Time, ev SegmentDone) {
 	sh := s.shards[ev.Shard]
-	if !s.readEnded(now, sh, ev.Result) {
+	if !s.finishRead(now, sh, ev.Result) {
 		return
 	}
 	if sh.segments == nil {
@@ -63,13 +65,13 @@
 	s.advance(now, sh)
 }
 
-// seal starts to move the ended records of a large value to a segment. It
-// returns false if there is no need.
+// seal starts moving the ended records of a large value to a segment. It
+// returns false if that isn't needed or possible now.
 func (s *State) seal(now time.Time, sh *shard) bool {
 	if !sh.home || sh.size < s.cfg.SealBytes || len(sh.table.Sealed) >= s.cfg.MaxSealed || now.Before(sh.sealAt) {
 		return false
 	}
-	if sh.sealing != nil && sh.sealing.version == sh.version {
+	if sh.pendingSegment != nil && sh.pendingSegment.version == sh.version {
 		return false
 	}
 	ended, last := sh.table.Ended()
@@ -81,7 +83,7 @@
 		return false
 	}
 	id := fmt.Sprintf("%08x", s.rng.Uint32())
-	sh.sealing = &sealing{segment: claims.Segment{ID: id, Last: last}, table: ended, version: sh.version}
+	sh.pendingSegment = &pendingSegment{segment: claims.Segment{ID: id, Last: last}, table: ended, version: sh.version}
 	sh.busy = true
 	s.emit(Seal{Shard: sh.id, ID: id, Value: value})
 	return true
@@ -91,34 +93,36 @@
 	sh := s.shards[ev.Shard]
 	sh.busy = false
 	if ev.Result == OK {
-		sh.sealing.stored = true
+		sh.pendingSegment.stored = true
 	} else {
-		sh.sealing = nil
+		sh.pendingSegment = nil
 		sh.sealAt = now.Add(s.cfg.BackoffMax)
 	}
 	s.advance(now, sh)
 }
 
-// sealed returns the next table with the stored segment named instead of its
-// records, if the segment was taken from the value that is replaced.
-func (sh *shard) sealed(next *claims.Table, changes map[claims.Key]*claims.Record) *claims.Table {
-	g := sh.sealing
-	if g == nil || !g.stored || g.version != sh.version {
+// withSegment returns the next table with a reference to the stored segment in
+// place of its records, if the segment was copied from the version that is being
+// replaced.
+func (sh *shard) withSegment(next *claims.Table, changes map[claims.Key]*claims.Record) *claims.Table {
+	pending := sh.pendingSegment
+	if pending == nil || !pending.stored || pending.version != sh.version {
 		return next
 	}
-	return next.Seal(g.segment, g.table, changes)
+	return next.Seal(pending.segment, pending.table, changes)
 }
 
-// adoptSegment keeps the records of a segment that the written table names.
+// adoptSegment caches the records of a segment that the written table
+// references.
 func (sh *shard) adoptSegment() {
-	g := sh.sealing
-	sh.sealing = nil
-	if g == nil || !g.stored {
+	pending := sh.pendingSegment
+	sh.pendingSegment = nil
+	if pending == nil || !pending.stored {
 		return
 	}
 	if sh.segments == nil {
 		sh.segments = map[string]*claims.Table{}
 	}
-	sh.segments[g.segment.ID] = g.table
-	sh.forget()
+	sh.segments[pending.segment.ID] = pending.table
+	sh.dropUnreferenced()
 }
--- a/coordination/claim/shard.go
+++ b/coordination/claim/shard.go
@@ -7,52 +7,54 @@
 	"goldcrestport/state/claims"
 )
 
-// shard is what this process knows of one shard and wants to change in it.
+// shard is this process's copy of one shard, with the calls that are to change
+// it.
 type shard struct {
 	id int
-	// home tells that this process is the shard's usual writer.
+	// home is true if this process is the shard's home, its regular writer.
 	home bool
-	// stale tells that table and version must be read before the next write.
+	// stale is true if table and version must be read before the next write.
 	stale   bool
 	table   *claims.Table
 	version uint64
-	// fresh is the step in which the call began that showed the table to be
-	// the newest: a read, or a write, whose compare-and-swap proves the same.
-	fresh uint64
-	// began is the step of the call on the way.
-	began uint64
-	// busy tells that one platform call is on the way; there is never a
-	// second one.
+	// currentAt is the start step of the last platform call that proved the
+	// table current: a read, or a write whose compare-and-swap succeeded.
+	currentAt uint64
+	// callStep is the start step of the in-flight platform call.
+	callStep uint64
+	// busy is true while a platform call is in flight; there is at most one
+	// per shard.
 	busy    bool
-	pending []*waiting
-	writing []*waiting
+	pending []*pendingCall
+	writing []*pendingCall
 	next    *claims.Table
-	// segments holds the segments that the table names.
+	// segments caches the segments that the table references, by id.
 	segments map[string]*claims.Table
-	// size of the stored value, in bytes.
-	size    int
-	sealing *sealing
-	sealAt  time.Time
-	// writeAt is when the next write may begin.
+	// size is the length of the value last written, in bytes.
+	size           int
+	pendingSegment *pendingSegment
+	sealAt         time.Time
+	// writeAt is the earliest start time of the next write.
 	writeAt       time.Time
 	writeFailures int
-	// retryAt is when the next call of either kind may begin.
+	// retryAt is the earliest start time of the next platform call, read or
+	// write.
 	retryAt  time.Time
 	failures int
 }
 
-// waiting is a call without an answer.
-type waiting struct {
+// pendingCall is a call that has not been answered.
+type pendingCall struct {
 	call    Call
 	arrived time.Time
-	// step in which the call arrived.
+	// step is the event count at the call's arrival.
 	step uint64
-	// due tells that the call is worth a write of its own.
+	// due is true if a write is started for this call even without others.
 	due bool
-	// answered tells that the call got its one answer.
+	// answered is true once the call has its answer; it gets exactly one.
 	answered bool
-	// verdict holds once the write on the way has taken effect.
-	verdict verdict
+	// decision is the answer to give once the in-flight write has taken effect.
+	decision decision
 }
 
 func (sh *shard) lookup(k claims.Key) *claims.Record {
@@ -67,27 +69,27 @@
 	return nil
 }
 
-// wantsFresh reports whether a call waits that the table is too old for.
-func (sh *shard) wantsFresh() bool {
+// needsRead reports whether a pending call requires a newer read of the shard.
+func (sh *shard) needsRead() bool {
 	for _, w := range sh.pending {
-		if w.call.Fresh && sh.fresh < w.step {
+		if w.call.Fresh && sh.currentAt < w.step {
 			return true
 		}
 	}
 	return false
 }
 
-// requeue puts the calls of a write that had no proven effect back to the
-// front, in their order, but those that were answered meanwhile.
+// requeue puts the unanswered calls of a write that is not known to have taken
+// effect back to the front of the queue, in their order.
 func (sh *shard) requeue() {
-	sh.writing = slices.DeleteFunc(sh.writing, func(w *waiting) bool { return w.answered })
+	sh.writing = slices.DeleteFunc(sh.writing, func(w *pendingCall) bool { return w.answered })
 	sh.pending = append(sh.writing, sh.pending...)
 	sh.writing = nil
 	sh.next = nil
 }
 
-// verdict is an answer before it is given.
-type verdict struct {
+// decision is the content of an answer that has not been sent yet.
+type decision struct {
 	verdict Verdict
 	record  claims.Record
 }
@@ -95,12 +97,12 @@
 // change is a new record, or nil to delete it.
 type change struct{ record *claims.Record }
 
-// keep marks a call that waits for a read.
-var keep = &change{}
+// awaitRead marks a call that has to wait for a read.
+var awaitRead = &change{}
 
 // decide returns the answer to a call, given the key's record, and the change
 // that must be written before the answer may be given, or nil.
-func (s *State) decide(now time.Time, r *claims.Record, c Call) (verdict, *change) {
+func (s *State) decide(now time.Time, r *claims.Record, c Call) (decision, *change) {
 	if r != nil && r.Expired(now, s.cfg.Expiry) {
 		r = nil
 	}
@@ -114,10 +116,10 @@
 	}
 }
 
-// acquire grants a key that is free, or whose claim is the attempt's own, or
-// whose claim belongs to an attempt that will never run.
-func acquire(now time.Time, r *claims.Record, c Call) (verdict, *change) {
-	mine := claims.Record{
+// acquire grants a key that is free, or that is claimed by the same attempt, or
+// by an attempt that will never run (Call.Over).
+func acquire(now time.Time, r *claims.Record, c Call) (decision, *change) {
+	newClaim := claims.Record{
 		State:    claims.Claimed,
 		Digest:   c.Digest,
 		At:       now.Unix(),
@@ -126,53 +128,54 @@
 	}
 	switch {
 	case r == nil:
-		return verdict{verdict: Granted}, &change{&mine}
+		return decision{verdict: Granted}, &change{&newClaim}
 	case r.State == claims.Claimed && r.Attempt == c.Attempt:
-		return verdict{verdict: Granted}, nil
+		return decision{verdict: Granted}, nil
 	case r.State == claims.Claimed && c.Over != "" && r.Attempt == c.Over:
-		return verdict{verdict: Granted}, &change{&mine}
+		return decision{verdict: Granted}, &change{&newClaim}
 	case r.Digest != c.Digest:
-		return verdict{verdict: Reused, record: *r}, nil
+		return decision{verdict: Reused, record: *r}, nil
 	case r.State == claims.Claimed:
-		return verdict{verdict: Held, record: *r}, nil
+		return decision{verdict: Held, record: *r}, nil
 	default:
-		return verdict{verdict: Replayed, record: *r}, nil
+		return decision{verdict: Replayed, record: *r}, nil
 	}
 }
 
-// finish records a result in the attempt's own claim only.
-func finish(r *claims.Record, c Call) (verdict, *change) {
+// finish records a result, only in the attempt's own claim.
+func finish(r *claims.Record, c Call) (decision, *change) {
 	if r == nil || r.State != claims.Claimed || r.Attempt != c.Attempt {
-		return verdict{verdict: Done}, nil
+		return decision{verdict: Done}, nil
 	}
 	ended := r.End(c.Result)
-	return verdict{verdict: Done}, &change{&ended}
+	return decision{verdict: Done}, &change{&ended}
 }
 
-// release removes the attempt's own claim only.
-func release(r *claims.Record, c Call) (verdict, *change) {
+// release removes a claim, only if it is the attempt's own.
+func release(r *claims.Record, c Call) (decision, *change) {
 	if r == nil || r.State != claims.Claimed || r.Attempt != c.Attempt {
-		return verdict{verdict: Done}, nil
+		return decision{verdict: Done}, nil
 	}
-	return verdict{verdict: Done}, &change{nil}
+	return decision{verdict: Done}, &change{nil}
 }
 
-// bucket is a token bucket that holds guestBurst tokens.
-type bucket struct {
+// tokenBucket is a token bucket with a capacity of nonHomeBurst tokens.
+type tokenBucket struct {
 	rate, tokens float64
 	last         time.Time
 }
 
-// guestBurst is the number of writes a guest may make at once.
-const guestBurst = 4
+// nonHomeBurst is the number of writes that a router may make at once to shards
+// whose home is another router.
+const nonHomeBurst = 4
 
-func (b *bucket) setRate(rate float64) { b.rate = rate }
+func (b *tokenBucket) setRate(rate float64) { b.rate = rate }
 
-func (b *bucket) take(now time.Time) bool {
+func (b *tokenBucket) take(now time.Time) bool {
 	if b.last.IsZero() {
-		b.tokens = guestBurst
+		b.tokens = nonHomeBurst
 	} else {
-		b.tokens = min(guestBurst, b.tokens+now.Sub(b.last).Seconds()*b.rate)
+		b.tokens = min(nonHomeBurst, b.tokens+now.Sub(b.last).Seconds()*b.rate)
 	}
 	b.last = now
 	if b.tokens < 1 {
