--- a/coordination/plan/compare.go
+++ b/coordination/plan/compare.go
@@ -10,7 +10,7 @@
 	"goldcrestport/state/config"
 )
 
-// comparison is the work of one Compare.
+// comparison is the state of one call of Compare.
 type comparison struct {
 	base, next   *config.Document
 	patch        config.Patch
@@ -34,7 +34,7 @@
 }
 
 // totals returns the sum of the shares in each service's pool. Teams are added
-// in the order of their names, so that the rounding is the same everywhere.
+// in the order of their names, so that every router gets the same rounding.
 func totals(d *config.Document) map[string]float64 {
 	out := map[string]float64{}
 	for _, name := range slices.Sorted(maps.Keys(d.Teams)) {
@@ -63,42 +63,42 @@
 	}
 }
 
-func (c *comparison) teams() {
+func (c *comparison) compareTeams() {
 	for _, name := range slices.Sorted(maps.Keys(c.patch.Teams)) {
-		c.team(name)
+		c.compareTeam(name)
 	}
 }
 
-func (c *comparison) team(name string) {
+func (c *comparison) compareTeam(name string) {
 	old, before := c.base.Teams[name]
-	now, after := c.next.Teams[name]
+	updated, after := c.next.Teams[name]
 	t := TeamChange{
 		Team:          name,
 		Action:        actionOf(before, after),
 		ShareBefore:   old.Share,
-		ShareAfter:    now.Share,
-		Gained:        without(now.Services, old.Services),
-		Lost:          without(old.Services, now.Services),
-		TokensAdded:   len(without(now.Tokens, old.Tokens)),
-		TokensRemoved: len(without(old.Tokens, now.Tokens)),
+		ShareAfter:    updated.Share,
+		Gained:        difference(updated.Services, old.Services),
+		Lost:          difference(old.Services, updated.Services),
+		TokensAdded:   len(difference(updated.Tokens, old.Tokens)),
+		TokensRemoved: len(difference(old.Tokens, updated.Tokens)),
 	}
-	for _, service := range union(old.Services, now.Services) {
+	for _, service := range union(old.Services, updated.Services) {
 		t.Pools = append(t.Pools, Fraction{
 			Service: service,
 			Before:  fraction(old, service, c.totalsBefore),
-			After:   fraction(now, service, c.totalsAfter),
+			After:   fraction(updated, service, c.totalsAfter),
 		})
 	}
 	if t.Action != Removed {
-		t.Fields = append(t.Fields, numberField("requests that may wait", int64(old.MaxQueued), int64(now.MaxQueued))...)
-		t.Fields = append(t.Fields, numberField("bytes that may wait", old.MaxQueuedBytes, now.MaxQueuedBytes)...)
+		t.Fields = append(t.Fields, numberField("requests that may wait", int64(old.MaxQueued), int64(updated.MaxQueued))...)
+		t.Fields = append(t.Fields, numberField("bytes that may wait", old.MaxQueuedBytes, updated.MaxQueuedBytes)...)
 	}
 	c.plan.Teams = append(c.plan.Teams, t)
-	c.teamNotes(t, old, now)
+	c.teamNotes(t, old, updated)
 }
 
-// pools tells how the change moves the teams that it doesn't name.
-func (c *comparison) pools() {
+// pools computes the effect on the teams that the change doesn't name.
+func (c *comparison) comparePools() {
 	others := map[string]int{}
 	for name, team := range c.next.Teams {
 		if _, named := c.patch.Teams[name]; named || team.Share <= 0 {
@@ -118,27 +118,27 @@
 	}
 }
 
-func (c *comparison) services() {
+func (c *comparison) compareServices() {
 	for _, name := range slices.Sorted(maps.Keys(c.patch.Services)) {
 		old, before := c.base.Services[name]
-		now, after := c.next.Services[name]
+		updated, after := c.next.Services[name]
 		s := ServiceChange{Service: name, Action: actionOf(before, after), Backends: c.backendsOf(name)}
 		if s.Action != Removed {
-			s.Fields = serviceFields(old, now)
+			s.Fields = serviceFields(old, updated)
 		}
 		c.plan.Services = append(c.plan.Services, s)
-		c.serviceNotes(s, old, now)
+		c.serviceNotes(s, old, updated)
 	}
 }
 
-func serviceFields(old, now config.Service) []Field {
+func serviceFields(old, updated config.Service) []Field {
 	var out []Field
-	out = append(out, textField("kind", string(old.Kind), string(now.Kind))...)
-	out = append(out, textField("paths that run at most once", strings.Join(old.NonIdempotent, " "), strings.Join(now.NonIdempotent, " "))...)
-	out = append(out, numberField("greatest body in bytes", old.MaxBody, now.MaxBody)...)
-	out = append(out, textField("models", modelList(old.Models), modelList(now.Models))...)
-	out = append(out, textField("role", old.Role, now.Role)...)
-	out = append(out, textField("engines check the fencing token", yesNo(old.ChecksFence), yesNo(now.ChecksFence))...)
+	out = append(out, textField("kind", string(old.Kind), string(updated.Kind))...)
+	out = append(out, textField("paths that run at most once", strings.Join(old.NonIdempotent, " "), strings.Join(updated.NonIdempotent, " "))...)
+	out = append(out, numberField("greatest body in bytes", old.MaxBody, updated.MaxBody)...)
+	out = append(out, textField("models", modelList(old.Models), modelList(updated.Models))...)
+	out = append(out, textField("role", old.Role, updated.Role)...)
+	out = append(out, textField("engines check the fencing token", yesNo(old.ChecksFence), yesNo(updated.ChecksFence))...)
 	return out
 }
 
@@ -160,7 +160,7 @@
 	return "no"
 }
 
-func (c *comparison) backends() {
+func (c *comparison) compareBackends() {
 	for _, id := range union(c.base.Drain, c.next.Drain) {
 		drained := slices.Contains(c.next.Drain, id)
 		if drained == slices.Contains(c.base.Drain, id) {
@@ -171,7 +171,7 @@
 	c.backendNotes()
 }
 
-func (c *comparison) dataCentres() {
+func (c *comparison) compareDataCentres() {
 	for _, name := range union(c.base.Evacuate, c.next.Evacuate) {
 		evacuated := slices.Contains(c.next.Evacuate, name)
 		if evacuated == slices.Contains(c.base.Evacuate, name) {
@@ -181,7 +181,7 @@
 	}
 }
 
-func (c *comparison) operators() {
+func (c *comparison) compareOperators() {
 	for _, name := range slices.Sorted(maps.Keys(c.patch.Operators)) {
 		_, before := c.base.Operators[name]
 		_, after := c.next.Operators[name]
@@ -209,7 +209,7 @@
 	return ""
 }
 
-func (c *comparison) waiting(team, service string) int {
+func (c *comparison) queuedRequests(team, service string) int {
 	n := 0
 	for _, q := range c.facts.Queues {
 		if q.Team == team && (service == "" || q.Service == service) {
@@ -219,8 +219,8 @@
 	return n
 }
 
-// without returns what stands in a and not in b; both are sorted.
-func without(a, b []string) []string {
+// difference returns the elements of a that are not in b, in the order of a.
+func difference(a, b []string) []string {
 	var out []string
 	for _, x := range a {
 		if !slices.Contains(b, x) {
@@ -230,19 +230,19 @@
 	return out
 }
 
-// union returns what stands in a or b, sorted.
+// union returns the elements of a or b, sorted and without duplicates.
 func union(a, b []string) []string {
 	return slices.Compact(slices.Sorted(slices.Values(slices.Concat(a, b))))
 }
 
 func numberField(name string, before, after int64) []Field {
-	show := func(n int64) string {
+	format := func(n int64) string {
 		if n == 0 {
 			return "default"
 		}
 		return strconv.FormatInt(n, 10)
 	}
-	return textField(name, show(before), show(after))
+	return textField(name, format(before), format(after))
 }
 
 func textField(name, before, after string) []Field {
@@ -252,10 +252,10 @@
 	return []Field{{Name: name, Before: before, After: after}}
 }
 
-func (c *comparison) refused(code NoteCode, subject, format string, args ...any) {
+func (c *comparison) addRefusal(code NoteCode, subject, format string, args ...any) {
 	c.plan.Refused = append(c.plan.Refused, Note{Code: code, Subject: subject, Text: fmt.Sprintf(format, args...)})
 }
 
-func (c *comparison) warn(code NoteCode, subject, format string, args ...any) {
+func (c *comparison) addWarning(code NoteCode, subject, format string, args ...any) {
 	c.plan.Warnings = append(c.plan.Warnings, Note{Code: code, Subject: subject, Text: fmt.Sprintf(format, args...)})
 }
--- a/coordination/plan/notes.go
+++ b/coordination/plan/notes.go
@@ -7,102 +7,104 @@
 	"goldcrestport/state/config"
 )
 
-// teamNotes says which requests of the team will be refused and what to look
-// at twice.
-func (c *comparison) teamNotes(t TeamChange, old, now config.Team) {
+// teamNotes adds the refusals and warnings that follow from the change of a
+// team.
+func (c *comparison) teamNotes(t TeamChange, old, updated config.Team) {
 	if t.Action == Removed {
-		c.refused(NoteTeamRemoved, t.Team, "all requests of team %s: 401 unauthorized", t.Team)
-		if n := c.waiting(t.Team, ""); n > 0 {
-			c.warn(NoteQueuedWork, t.Team, "team %s is removed and has %d requests waiting; they still run", t.Team, n)
+		c.addRefusal(NoteTeamRemoved, t.Team, "all requests of team %s: 401 unauthorized", t.Team)
+		if n := c.queuedRequests(t.Team, ""); n > 0 {
+			c.addWarning(NoteQueuedWork, t.Team, "team %s is removed and has %d requests waiting; they still run", t.Team, n)
 		}
 		return
 	}
 	c.lostServices(t)
 	if t.TokensRemoved > 0 {
-		c.refused(NoteTokenRemoved, t.Team, "requests with %d removed %s of team %s: 401 unauthorized",
+		c.addRefusal(NoteTokenRemoved, t.Team, "requests with %d removed %s of team %s: 401 unauthorized",
 			t.TokensRemoved, plural(t.TokensRemoved, "token", "tokens"), t.Team)
 	}
-	if len(now.Tokens) == 0 {
-		c.warn(NoteNoToken, t.Team, "team %s has no token: it can't send requests", t.Team)
+	if len(updated.Tokens) == 0 {
+		c.addWarning(NoteNoToken, t.Team, "team %s has no token: it can't send requests", t.Team)
 	}
-	if now.Share == 0 {
-		c.refused(NoteShareZero, t.Team, "all requests of team %s: 403, its share is zero", t.Team)
-		c.warn(NoteShareZero, t.Team, "the share of team %s is zero", t.Team)
+	if updated.Share == 0 {
+		c.addRefusal(NoteShareZero, t.Team, "all requests of team %s: 403, its share is zero", t.Team)
+		c.addWarning(NoteShareZero, t.Team, "the share of team %s is zero", t.Team)
 	}
 	if t.Action == Changed {
-		c.boundNotes(t.Team, old, now)
+		c.boundNotes(t.Team, old, updated)
 	}
 }
 
-func (c *comparison) boundNotes(team string, old, now config.Team) {
-	if lowered(int64(old.MaxQueued), int64(now.MaxQueued)) {
-		c.refused(NoteBoundLowered, team, "requests of team %s when %d wait at a router: 429 queue-full", team, now.MaxQueued)
-		c.tooMany(team, now)
+func (c *comparison) boundNotes(team string, old, updated config.Team) {
+	if lowered(int64(old.MaxQueued), int64(updated.MaxQueued)) {
+		c.addRefusal(NoteBoundLowered, team, "requests of team %s when %d wait at a router: 429 queue-full", team, updated.MaxQueued)
+		c.queuesOverBound(team, updated)
 	}
-	if lowered(old.MaxQueuedBytes, now.MaxQueuedBytes) {
-		c.refused(NoteBoundLowered, team, "requests of team %s when %d bytes wait at a router: 429 queue-full", team, now.MaxQueuedBytes)
+	if lowered(old.MaxQueuedBytes, updated.MaxQueuedBytes) {
+		c.addRefusal(NoteBoundLowered, team, "requests of team %s when %d bytes wait at a router: 429 queue-full", team, updated.MaxQueuedBytes)
 	}
 }
 
 func (c *comparison) lostServices(t TeamChange) {
 	for _, service := range t.Lost {
-		c.refused(NoteServiceLost, t.Team, "requests of team %s to %s: 403 service-not-allowed", t.Team, service)
-		if n := c.waiting(t.Team, service); n > 0 {
-			c.warn(NoteQueuedWork, t.Team, "team %s loses %s and has %d requests for it waiting; they still run", t.Team, service, n)
+		c.addRefusal(NoteServiceLost, t.Team, "requests of team %s to %s: 403 service-not-allowed", t.Team, service)
+		if n := c.queuedRequests(t.Team, service); n > 0 {
+			c.addWarning(NoteQueuedWork, t.Team, "team %s loses %s and has %d requests for it waiting; they still run", t.Team, service, n)
 		}
 	}
 }
 
-// tooMany warns of queues over the new bound, which holds per router.
-func (c *comparison) tooMany(team string, now config.Team) {
+// queuesOverBound warns about queues above the new bound, which applies per
+// router.
+func (c *comparison) queuesOverBound(team string, updated config.Team) {
 	for _, q := range c.facts.Queues {
-		if q.Team == team && now.Reaches(q.Service) && q.Waiting > now.MaxQueued {
-			c.warn(NoteQueuedWork, team, "team %s has %d requests waiting for %s at a router, over the new bound of %d; they still run",
-				team, q.Waiting, q.Service, now.MaxQueued)
+		if q.Team == team && updated.Reaches(q.Service) && q.Waiting > updated.MaxQueued {
+			c.addWarning(NoteQueuedWork, team, "team %s has %d requests waiting for %s at a router, over the new bound of %d; they still run",
+				team, q.Waiting, q.Service, updated.MaxQueued)
 		}
 	}
 }
 
-// lowered reports whether a bound falls; 0 is the router's own default, which
-// the plan doesn't know.
+// lowered reports whether a bound is lowered or may be: 0 stands for the
+// router's own default, which is unknown here, so a change from 0 counts.
 func lowered(before, after int64) bool {
 	return after > 0 && before != after && (before == 0 || after < before)
 }
 
-func (c *comparison) serviceNotes(s ServiceChange, old, now config.Service) {
+func (c *comparison) serviceNotes(s ServiceChange, old, updated config.Service) {
 	if s.Action == Removed {
-		c.refused(NoteServiceRemoved, s.Service, "all requests to %s: 404 unknown-service", s.Service)
+		c.addRefusal(NoteServiceRemoved, s.Service, "all requests to %s: 404 unknown-service", s.Service)
 		return
 	}
-	if s.Action == Changed && lowered(old.MaxBody, now.MaxBody) {
-		c.refused(NoteBodyLowered, s.Service, "requests to %s with a body over %d bytes: 413 body-too-large", s.Service, now.MaxBody)
+	if s.Action == Changed && lowered(old.MaxBody, updated.MaxBody) {
+		c.addRefusal(NoteBodyLowered, s.Service, "requests to %s with a body over %d bytes: 413 body-too-large", s.Service, updated.MaxBody)
 	}
 }
 
-// backendNotes warns of services that nobody serves.
+// backendNotes warns about missing facts, unknown names and services without a
+// backend server that takes requests.
 func (c *comparison) backendNotes() {
 	if n := c.facts.SilentRouters; n > 0 {
-		c.warn(NoteNoFacts, "", "%d %s gave no answer: requests that wait there were not counted", n, plural(n, "router", "routers"))
+		c.addWarning(NoteNoFacts, "", "%d %s gave no answer: requests that wait there were not counted", n, plural(n, "router", "routers"))
 	}
 	if !c.facts.BackendsKnown {
-		c.warn(NoteNoFacts, "", "the list of instances can't be read now: backend servers were not checked")
+		c.addWarning(NoteNoFacts, "", "the list of instances can't be read now: backend servers were not checked")
 		return
 	}
 	for _, b := range c.plan.Backends {
 		if b.Service == "" && b.Drained {
-			c.warn(NoteUnknownBackend, b.Backend, "no backend server %s is known", b.Backend)
+			c.addWarning(NoteUnknownBackend, b.Backend, "no backend server %s is known", b.Backend)
 		}
 	}
 	for _, d := range c.plan.DataCentres {
 		known := slices.ContainsFunc(c.facts.Backends, func(b Backend) bool { return b.DataCentre == d.DataCentre })
 		if d.Evacuated && !known {
-			c.warn(NoteUnknownDataCentre, d.DataCentre, "no backend server is known in data centre %s", d.DataCentre)
+			c.addWarning(NoteUnknownDataCentre, d.DataCentre, "no backend server is known in data centre %s", d.DataCentre)
 		}
 	}
-	c.unserved()
+	c.unservedServices()
 }
 
-func (c *comparison) unserved() {
+func (c *comparison) unservedServices() {
 	drained := map[string]bool{}
 	for _, id := range c.next.Drain {
 		drained[id] = true
@@ -114,17 +116,17 @@
 	}
 	for _, service := range sortedServices(c.next) {
 		all := c.backendsOf(service)
-		var left []string
+		var inService []string
 		for _, id := range all {
 			if !drained[id] {
-				left = append(left, id)
+				inService = append(inService, id)
 			}
 		}
 		switch {
 		case len(all) == 0:
-			c.warn(NoteNoBackends, service, "service %s has no backend servers", service)
-		case len(left) == 0:
-			c.warn(NoteAllDrained, service, "every backend server of %s is drained: %s", service, strings.Join(all, ", "))
+			c.addWarning(NoteNoBackends, service, "service %s has no backend servers", service)
+		case len(inService) == 0:
+			c.addWarning(NoteAllDrained, service, "every backend server of %s is drained: %s", service, strings.Join(all, ", "))
 		}
 	}
 }
--- a/coordination/plan/plan.go
+++ b/coordination/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan works out what a change of the configuration does, in terms that
-// a person can check before confirming it.
+// Package plan computes the effects of a configuration change, for an operator
+// to review before confirming it.
 //
 // It is pure: the same two documents and the same facts give the same plan at
 // every router. The driver is transport/operators; goldcrestctl renders the
@@ -12,7 +12,7 @@
 	"goldcrestport/state/config"
 )
 
-// Action says what happens to a named part of the configuration.
+// Action is what a change does to a named part of the configuration.
 type Action string
 
 // Actions of a change.
@@ -22,11 +22,11 @@
 	Changed Action = "changed"
 )
 
-// Plan is the effect of going from one revision to the next.
+// Plan is the effect of replacing one revision by the next.
 type Plan struct {
-	// BaseRevision is the revision that the plan changes.
+	// BaseRevision is the revision that the plan applies to.
 	BaseRevision uint64 `json:"base_revision"`
-	// Digest names the plan; see config.PlanDigest.
+	// Digest identifies the plan; see config.PlanDigest.
 	Digest string `json:"digest"`
 	// Summary is the plan in one line.
 	Summary     string             `json:"summary"`
@@ -36,9 +36,9 @@
 	Backends    []BackendChange    `json:"backends,omitempty"`
 	DataCentres []DataCentreChange `json:"data_centres,omitempty"`
 	Operators   []OperatorChange   `json:"operators,omitempty"`
-	// Refused lists the requests that will be refused from then on.
+	// Refused lists the requests that the change causes to be refused.
 	Refused []Note `json:"refused,omitempty"`
-	// Warnings list what the operator should look at twice.
+	// Warnings lists what the operator should check before confirming.
 	Warnings []Note `json:"warnings,omitempty"`
 }
 
@@ -59,8 +59,8 @@
 	Fields        []Field `json:"fields,omitempty"`
 }
 
-// Fraction is a team's part of the capacity of a service's pool while every
-// team of the pool has work, from 0 to 1.
+// Fraction is a team's fraction, from 0 to 1, of the capacity of a service's
+// pool while every team of the pool has requests.
 type Fraction struct {
 	Service string  `json:"service"`
 	Before  float64 `json:"before"`
@@ -72,7 +72,8 @@
 	Service string `json:"service"`
 	// Others is the number of teams that keep their share.
 	Others int `json:"others"`
-	// Factor is what their fraction of the pool is multiplied by.
+	// Factor is the ratio of their fraction of the pool after the change to
+	// that before it.
 	Factor float64 `json:"factor"`
 }
 
@@ -81,7 +82,7 @@
 	Service string  `json:"service"`
 	Action  Action  `json:"action"`
 	Fields  []Field `json:"fields,omitempty"`
-	// Backends are the ids of the backend servers concerned.
+	// Backends are the ids of the service's backend servers.
 	Backends []string `json:"backends,omitempty"`
 }
 
@@ -92,7 +93,7 @@
 	After  string `json:"after"`
 }
 
-// BackendChange is one backend server that is drained or taken back.
+// BackendChange is one backend server that is drained or returned to service.
 type BackendChange struct {
 	Backend string `json:"backend"`
 	// Service is empty if the backend server is not known.
@@ -100,7 +101,7 @@
 	Drained bool   `json:"drained"`
 }
 
-// DataCentreChange is one data centre that is evacuated or taken back.
+// DataCentreChange is one data centre that is evacuated or returned to service.
 type DataCentreChange struct {
 	DataCentre string `json:"data_centre"`
 	Evacuated  bool   `json:"evacuated"`
@@ -112,7 +113,7 @@
 	Action   Action `json:"action"`
 }
 
-// NoteCode is a stable word for the kind of a note.
+// NoteCode is a stable identifier of the kind of a note.
 type NoteCode string
 
 // Codes of notes.
@@ -133,15 +134,15 @@
 	NoteNoFacts           NoteCode = "facts-missing"
 )
 
-// Note is one effect or warning.
+// Note is one refusal or warning.
 type Note struct {
 	Code NoteCode `json:"code"`
-	// Subject is the team, service or backend server concerned.
+	// Subject is the name of the team, service, backend server or data centre.
 	Subject string `json:"subject,omitempty"`
 	Text    string `json:"text"`
 }
 
-// Backend is a backend server as the router asked knows it.
+// Backend is a backend server as known to the router that makes the plan.
 type Backend struct {
 	ID      string
 	Service string
@@ -149,26 +150,27 @@
 	DataCentre string
 }
 
-// Queue is the waiting work of one team for one service.
+// Queue is the number of queued requests of one team for one service.
 type Queue struct {
 	Team    string
 	Service string
 	Waiting int
 }
 
-// Facts are what is known of the running fleet. They add
-// warnings and names; the digest doesn't depend on them.
+// Facts is the known state of the running fleet. It adds warnings and names to
+// a plan; the digest doesn't depend on it.
 type Facts struct {
 	Backends []Backend
-	// Queues holds the waiting work of changed teams, an entry per router.
+	// Queues holds the queued requests of changed teams, with one entry per
+	// router, team and service.
 	Queues []Queue
-	// SilentRouters counts the routers whose queues are not known.
+	// SilentRouters counts the routers that did not report their queues.
 	SilentRouters int
-	// BackendsKnown is false while the instance list can't be read.
+	// BackendsKnown is false if the instance list could not be read.
 	BackendsKnown bool
 }
 
-// Empty reports whether nothing changes.
+// Empty reports whether the plan changes nothing.
 func (p *Plan) Empty() bool {
 	return len(p.Teams) == 0 && len(p.Services) == 0 && len(p.Backends) == 0 && len(p.DataCentres) == 0 && len(p.Operators) == 0
 }
@@ -181,12 +183,12 @@
 	}
 	c := newComparison(base, next, facts)
 	c.plan.Digest = digest
-	c.teams()
-	c.pools()
-	c.services()
-	c.dataCentres()
-	c.backends()
-	c.operators()
+	c.compareTeams()
+	c.comparePools()
+	c.compareServices()
+	c.compareDataCentres()
+	c.compareBackends()
+	c.compareOperators()
 	c.plan.Summary = summary(c.plan)
 	return c.plan, nil
 }
--- a/coordination/plan/plan_test.go
+++ b/coordination/plan/plan_test.go
@@ -47,7 +47,7 @@
 	return p.Lines()
 }
 
-func TestPlanInWords(t *testing.T) {
+func TestPlanLines(t *testing.T) {
 	c := qt.New(t)
 	next := base()
 	deeds := team(10, "d2", "counsel-llm")
@@ -122,8 +122,8 @@
 	c.Assert(p.Summary, qt.Equals, "no change")
 }
 
-// The digest doesn't depend on the facts, and a team's fractions of a pool add
-// up to the whole while any team has a share.
+// The digest doesn't depend on the facts, and the teams' fractions of a pool add
+// up to 1 if any team has a share.
 func TestDigestAndFractions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		next := &config.Document{Teams: map[string]config.Team{}, Services: map[string]config.Service{"s": {Kind: config.KindModel}}}
@@ -151,9 +151,10 @@
 	})
 }
 
-// A data centre is evacuated and another one taken back; services that nobody else
-// serves and data centres that nobody knows are told.
-func TestAnEvacuationInWords(t *testing.T) {
+// One data centre is evacuated and another one returned to service; the plan
+// warns about services without another backend server and about unknown data
+// centres.
+func TestEvacuationLines(t *testing.T) {
 	c := qt.New(t)
 	before, next := base(), base()
 	before.Evacuate = []string{"west"}
--- a/coordination/plan/rebase.go
+++ b/coordination/plan/rebase.go
@@ -8,22 +8,22 @@
 	"goldcrestport/state/config"
 )
 
-// Rebase puts the changes that lead from base to mine on top of the newest
-// document, if others changed none of the same teams, services and operators
-// in another way since the base. It returns the merged content, or the names of what both
-// changed.
+// Rebase applies the changes from base to mine to the newest document, unless
+// the changes from base to newest alter one of the same teams, services or
+// operators differently. It returns the merged content, or the names of the
+// conflicting entries.
 //
-// With many operators the newest revision is rarely the one that a person has
-// looked at; changes that don't meet can still be applied one after the other.
+// With many operators the newest revision is rarely the one that an operator has
+// reviewed; changes that don't conflict can still be applied one after the other.
 func Rebase(base, mine, newest *config.Document) (*config.Document, []string) {
 	own, others := config.Between(base, mine), config.Between(base, newest)
-	both := slices.Concat(
-		meeting("team ", own.Teams, others.Teams),
-		meeting("service ", own.Services, others.Services),
-		meeting("operator ", own.Operators, others.Operators),
+	conflicts := slices.Concat(
+		conflictingNames("team ", own.Teams, others.Teams),
+		conflictingNames("service ", own.Services, others.Services),
+		conflictingNames("operator ", own.Operators, others.Operators),
 	)
-	if len(both) > 0 {
-		return nil, both
+	if len(conflicts) > 0 {
+		return nil, conflicts
 	}
 	own.Drain, own.Evacuate = nil, nil
 	merged := own.Apply(newest)
@@ -32,20 +32,21 @@
 	return merged.Content(), nil
 }
 
-// meeting returns the names that both change, each in another way, with their
-// kind before them.
-func meeting[V any](kind string, a, b map[string]V) []string {
+// conflictingNames returns the names that a and b change differently, each
+// prefixed with the kind.
+func conflictingNames[V any](kind string, a, b map[string]V) []string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(a)) {
-		if theirs, met := b[name]; met && !reflect.DeepEqual(a[name], theirs) {
+		if theirs, found := b[name]; found && !reflect.DeepEqual(a[name], theirs) {
 			out = append(out, kind+name)
 		}
 	}
 	return out
 }
 
-// rebaseList adds and takes back what mine does. Two changes of one name since the
-// same base are the same change, so they can't clash.
+// rebaseList applies the additions and removals from base to mine to newest. Two
+// changes of one name since the same base are the same change, so they can't
+// conflict.
 func rebaseList(base, mine, newest []string) []string {
 	out := slices.Clone(newest)
 	for _, id := range mine {
--- a/coordination/plan/rebase_test.go
+++ b/coordination/plan/rebase_test.go
@@ -33,8 +33,8 @@
 	c.Assert(merged.Operators, qt.HasLen, 2)
 }
 
-// drawn returns a small document.
-func drawn(t *rapid.T, label string) *config.Document {
+// drawDocument draws a small document.
+func drawDocument(t *rapid.T, label string) *config.Document {
 	names := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"})
 	d := &config.Document{Teams: map[string]config.Team{}, Operators: map[string]string{}}
 	for _, name := range rapid.SliceOfNDistinct(names, 0, 5, rapid.ID).Draw(t, label+" teams") {
@@ -48,11 +48,11 @@
 	return d
 }
 
-// Changes that don't meet can be applied in either order, and nothing of
-// either is lost.
+// Changes that don't conflict can be applied in either order, and neither is
+// lost.
 func TestRebaseInEitherOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from, mine, newest := drawn(t, "base"), drawn(t, "mine"), drawn(t, "newest")
+		from, mine, newest := drawDocument(t, "base"), drawDocument(t, "mine"), drawDocument(t, "newest")
 		one, both := plan.Rebase(from, mine, newest)
 		other, bothOther := plan.Rebase(from, newest, mine)
 		if !reflect.DeepEqual(both, bothOther) || !reflect.DeepEqual(one, other) {
--- a/coordination/plan/render.go
+++ b/coordination/plan/render.go
@@ -10,10 +10,10 @@
 	"goldcrestport/state/config"
 )
 
-// maxSummary bounds a summary in bytes, so that the history stays small.
+// maxSummary limits a summary, in bytes, so that the history stays small.
 const maxSummary = 240
 
-// summaryNames is how many names of a kind a summary gives.
+// summaryNames is the maximum number of names of each kind in a summary.
 const summaryNames = 4
 
 func plural(n int, one, more string) string {
@@ -41,7 +41,7 @@
 		parts = append(parts, kind+" "+text)
 	}
 	add("teams", teamMarks(p.Teams))
-	var services, drained, back, operators []string
+	var services, drained, undrained, operators []string
 	for _, s := range p.Services {
 		services = append(services, mark(s.Action)+s.Service)
 	}
@@ -49,7 +49,7 @@
 		if b.Drained {
 			drained = append(drained, b.Backend)
 		} else {
-			back = append(back, b.Backend)
+			undrained = append(undrained, b.Backend)
 		}
 	}
 	for _, o := range p.Operators {
@@ -57,17 +57,17 @@
 	}
 	add("services", services)
 	add("drain", drained)
-	add("undrain", back)
-	var evacuated, returned []string
+	add("undrain", undrained)
+	var evacuated, restored []string
 	for _, d := range p.DataCentres {
 		if d.Evacuated {
 			evacuated = append(evacuated, d.DataCentre)
 		} else {
-			returned = append(returned, d.DataCentre)
+			restored = append(restored, d.DataCentre)
 		}
 	}
 	add("evacuate", evacuated)
-	add("take back", returned)
+	add("take back", restored)
 	add("operators", operators)
 	if len(parts) == 0 {
 		return "no change"
@@ -102,7 +102,7 @@
 
 func percent(x float64) string { return strconv.FormatFloat(100*x, 'f', 1, 64) + " %" }
 
-// Lines returns the plan as text for a person, one line each.
+// Lines returns the plan as lines of text for an operator.
 func (p *Plan) Lines() []string {
 	out := []string{fmt.Sprintf("Plan against revision %d: %s", p.BaseRevision, p.Summary)}
 	for _, t := range p.Teams {
@@ -200,12 +200,12 @@
 }
 
 func (b BackendChange) line() string {
-	what := "takes work again"
+	effect := "takes work again"
 	if b.Drained {
-		what = "drained: gets no new work, what runs is finished"
+		effect = "drained: gets no new work, what runs is finished"
 	}
 	if b.Service == "" {
-		return fmt.Sprintf("Backend server %s: %s", b.Backend, what)
+		return fmt.Sprintf("Backend server %s: %s", b.Backend, effect)
 	}
-	return fmt.Sprintf("Backend server %s of %s: %s", b.Backend, b.Service, what)
+	return fmt.Sprintf("Backend server %s of %s: %s", b.Backend, b.Service, effect)
 }
