--- a/coordination/orders/config.go
+++ b/coordination/orders/config.go
@@ -1,5 +1,6 @@
-// Package orders decides which orders a sidecar gives to its engine, so that
-// the engine comes to hold the models, adapters and role of the configuration.
+// Package orders decides which orders (load, unload and role commands) a
+// sidecar sends to its engine, so that the engine converges to the models,
+// adapters and role of the configuration.
 //
 // The package is a pure state machine: State.Step takes an event and the time
 // and returns the actions to perform. It has no I/O, clock or goroutines. The
@@ -14,21 +15,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config holds the times of the reconciliation.
+// Config holds the intervals and timeouts of the reconciliation.
 type Config struct {
-	// ObserveEvery is the time between looks at an engine that has what is
-	// wanted. Default 30s.
+	// ObserveEvery is the time between two observations of an engine that
+	// matches the configuration. Default 30s.
 	ObserveEvery time.Duration
-	// Retry is the pause after anything that did not work; it is spread over
-	// half to one and a half of it. Default 1s.
+	// Retry is the mean delay after a failure; the actual delay is random
+	// between 0.5 and 1.5 times Retry. Default 1s.
 	Retry time.Duration
-	// WaitOut is how long an order without an answer may still take effect;
-	// nothing else is ordered before then, unless its effect shows. Default 5m.
+	// WaitOut is how long an unanswered order may still take effect; no other
+	// order is sent before then, unless its effect is observed. Default 5m.
 	WaitOut time.Duration
-	// IdleWait is how long a paused backend server may take to become idle
-	// before a change of role goes ahead. Default 2m.
+	// IdleWait is the maximum time that a change of role waits for a paused
+	// backend server to become idle. Default 2m.
 	IdleWait time.Duration
-	// Seed of the random pauses.
+	// Seed of the random delays.
 	Seed uint64
 }
 
--- a/coordination/orders/event.go
+++ b/coordination/orders/event.go
@@ -6,20 +6,20 @@
 	Name, Version string
 }
 
-// Want is what the configuration asks of the engine.
+// Want is the engine's desired state according to the configuration.
 type Want struct {
-	// Revision of the configuration; orders carry it as fencing token.
+	// Revision of the configuration; orders carry it as their fencing token.
 	Revision uint64
 	Items    []Item
-	// Role is empty if the configuration leaves it open.
+	// Role is empty if the configuration doesn't set it.
 	Role string
 }
 
-// Managed reports whether the configuration asks for anything at all. An
-// engine of which nothing is asked is left alone.
+// Managed reports whether the configuration sets any desired state. An engine
+// without desired state gets no orders.
 func (w Want) Managed() bool { return len(w.Items) > 0 || w.Role != "" }
 
-// Have is what the engine says it has.
+// Have is the actual state that the engine reports.
 type Have struct {
 	// Fence is the greatest fencing token that the engine has seen.
 	Fence uint64
@@ -27,7 +27,7 @@
 	Role  string
 }
 
-// Verb is what an order does.
+// Verb is the operation of an order.
 type Verb string
 
 // Verbs of orders.
@@ -37,7 +37,7 @@
 	SetRole Verb = "role"
 )
 
-// Order is one order to the engine.
+// Order is one command to the engine.
 type Order struct {
 	ID    uint64
 	Fence uint64
@@ -46,51 +46,52 @@
 	Role  string
 }
 
-// Permit names what only a few sidecars of the fleet may do at once.
+// Permit names an operation that only a limited number of sidecars of the fleet
+// may run concurrently.
 type Permit string
 
 const (
-	// NoPermit is needed for nothing.
+	// NoPermit is the absence of a permit.
 	NoPermit Permit = ""
 	// PermitLoad is needed to read from the weight store.
 	PermitLoad Permit = "load"
-	// PermitWave is needed to take away from a pool's capacity.
+	// PermitWave is needed for orders that reduce a pool's capacity.
 	PermitWave Permit = "wave"
 )
 
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Wanted is a configuration that came in force.
+// Wanted reports a configuration that has come into force.
 type Wanted struct{ Want Want }
 
-// Observed is the engine's word on what it has, as the answer to the Observe
-// with the same ID.
+// Observed is the state reported by the engine in answer to the Observe with the
+// same ID.
 type Observed struct {
 	ID   uint64
 	Have Have
 }
 
-// ObserveFailed is an Observe without an answer.
+// ObserveFailed reports that an Observe got no answer.
 type ObserveFailed struct{ ID uint64 }
 
-// Granted is a permit that was obtained.
+// Granted reports that a permit was acquired.
 type Granted struct{ Permit Permit }
 
-// Denied is a permit that is not to be had now.
+// Denied reports that a permit is not available now.
 type Denied struct{ Permit Permit }
 
-// PermitLost is a permit whose lease has lapsed.
+// PermitLost reports that the lease of the permit has expired.
 type PermitLost struct{}
 
-// Validated tells whether this sidecar is still the one of its slot, and which
-// revision is the newest.
+// Validated reports whether this sidecar still owns its slot, and which revision
+// is the newest.
 type Validated struct {
 	OK       bool
 	Revision uint64
 }
 
-// Running is the number of requests that the engine serves.
+// Running reports the number of requests that the engine is running.
 type Running struct{ Count int }
 
 // Answered is the engine's answer to an order. Refused means that it has seen
@@ -100,10 +101,10 @@
 	Refused bool
 }
 
-// Unanswered is an order that may or may not take effect.
+// Unanswered reports that an order got no answer and may or may not take effect.
 type Unanswered struct{ ID uint64 }
 
-// Ticked lets time pass.
+// Ticked reports that time has passed.
 type Ticked struct{}
 
 func (Wanted) isEvent()        {}
@@ -121,22 +122,22 @@
 // Action is an output of State.Step that the driver performs.
 type Action interface{ isAction() }
 
-// Observe asks the engine what it has. ID marks its answer.
+// Observe reads the engine's state. ID identifies its answer.
 type Observe struct{ ID uint64 }
 
-// Acquire asks for a permit.
+// Acquire requests a permit.
 type Acquire struct{ Permit Permit }
 
-// Release gives the permit back.
+// Release releases the permit.
 type Release struct{ Permit Permit }
 
-// Pause stops or resumes new requests.
+// Pause stops the admission of new requests, or resumes it.
 type Pause struct{ On bool }
 
-// Validate asks for a Validated.
+// Validate requests a Validated event.
 type Validate struct{}
 
-// Send gives the order to the engine.
+// Send sends the order to the engine.
 type Send struct{ Order Order }
 
 func (Observe) isAction()  {}
--- a/coordination/orders/orders.go
+++ b/coordination/orders/orders.go
@@ -9,39 +9,40 @@
 // State is the reconciliation of one engine. It must be used by one goroutine
 // at a time.
 //
-// Invariants: at most one order is on its way (brief: some engines ignore
-// fencing tokens, so that two orders could overtake each other); an order is
-// only sent after a validation that came after the decision for it.
+// Invariants: at most one order is in flight (some engines ignore fencing
+// tokens, so two orders could overtake each other); an order is sent only after
+// a validation that was requested after the order was decided.
 type State struct {
 	cfg  Config
 	rng  *rand.Rand
 	want Want
 	have Have
-	// known tells that have was read after the last order.
-	known     bool
-	observing bool
-	// lookID is the last Observe whose answer counts: one that was asked
-	// before an order tells nothing of what the engine has after it.
-	lookID uint64
-	lookAt time.Time
-
-	held      Permit
-	acquiring Permit
-	// checking is the order that a validation is on the way for.
-	checking *Order
-	sent     *Order
-	sentAt   time.Time
-	// unsure tells that the sent order has no answer.
-	unsure   bool
-	paused   bool
-	pausedAt time.Time
-	running  int
-	retryAt  time.Time
-	lastID   uint64
-	out      []Action
+	// haveCurrent is true if have was read after the last order.
+	haveCurrent bool
+	observing   bool
+	// observeID is the only Observe whose answer is used: one requested before
+	// an order doesn't show the engine's state after it.
+	observeID uint64
+	observeAt time.Time
+
+	heldPermit      Permit
+	requestedPermit Permit
+	// validating is the order whose validation is in flight.
+	validating *Order
+	sent       *Order
+	sentAt     time.Time
+	// unanswered is true if the sent order got no answer and may still take
+	// effect.
+	unanswered bool
+	paused     bool
+	pausedAt   time.Time
+	running    int
+	retryAt    time.Time
+	lastID     uint64
+	actions    []Action
 }
 
-// New returns a state that wants nothing. The config must be valid.
+// New returns a state without a desired state. The config must be valid.
 func New(cfg Config) *State {
 	return &State{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed+1))}
 }
@@ -49,10 +50,10 @@
 // Step applies one event at the time now and returns the actions to perform,
 // in order. The slice is valid until the next call.
 func (s *State) Step(now time.Time, ev Event) []Action {
-	s.out = s.out[:0]
+	s.actions = s.actions[:0]
 	switch ev := ev.(type) {
 	case Wanted:
-		s.wanted(now, ev.Want)
+		s.setWant(now, ev.Want)
 	case Observed:
 		s.observed(now, ev)
 	case ObserveFailed:
@@ -60,11 +61,11 @@
 	case Granted:
 		s.granted(ev.Permit)
 	case Denied:
-		s.acquiring = NoPermit
-		s.later(now)
+		s.requestedPermit = NoPermit
+		s.scheduleRetry(now)
 	case PermitLost:
-		s.held = NoPermit
-		s.checking = nil
+		s.heldPermit = NoPermit
+		s.validating = nil
 	case Validated:
 		s.validated(now, ev)
 	case Running:
@@ -72,82 +73,84 @@
 	case Answered:
 		s.answered(now, ev)
 	case Unanswered:
-		s.unsure = s.unsure || (s.sent != nil && s.sent.ID == ev.ID)
+		s.unanswered = s.unanswered || (s.sent != nil && s.sent.ID == ev.ID)
 	}
 	s.advance(now)
-	return s.out
+	return s.actions
 }
 
-// Progress tells what is left to do.
+// Progress is the state of the reconciliation.
 type Progress struct {
 	Revision uint64
-	// Left is the number of orders still to give.
+	// Left is the number of orders that remain to be sent.
 	Left int
-	// Waiting is the permit that is waited for.
+	// Waiting is the permit that has been requested but not granted.
 	Waiting Permit
-	// Sent is the order on its way, nil for none.
+	// Sent is the order in flight, nil for none.
 	Sent *Order
-	// Unsure tells that it has no answer.
+	// Unsure is true if the order in flight got no answer and may or may not
+	// take effect.
 	Unsure bool
-	// Behind tells that the engine has seen a newer fencing token.
+	// Behind is true if the engine has seen a newer fencing token.
 	Behind bool
 }
 
-// Progress returns what is left to do, for status.
+// Progress returns the state of the reconciliation, for status reports.
 func (s *State) Progress() Progress {
 	return Progress{
-		Revision: s.want.Revision, Left: len(s.todo()), Waiting: s.acquiring,
-		Sent: s.sent, Unsure: s.unsure, Behind: s.behind(),
+		Revision: s.want.Revision, Left: len(s.pendingOrders()), Waiting: s.requestedPermit,
+		Sent: s.sent, Unsure: s.unanswered, Behind: s.behind(),
 	}
 }
 
-func (s *State) emit(a Action) { s.out = append(s.out, a) }
+func (s *State) emit(a Action) { s.actions = append(s.actions, a) }
 
-// later pauses before the next try, spread so that a pool does not try as one.
-func (s *State) later(now time.Time) {
+// scheduleRetry delays the next attempt, with jitter so that the sidecars of a
+// pool don't retry at the same time.
+func (s *State) scheduleRetry(now time.Time) {
 	s.retryAt = now.Add(s.cfg.Retry/2 + time.Duration(s.rng.Int64N(int64(s.cfg.Retry))))
 }
 
-func (s *State) behind() bool { return s.known && s.have.Fence > s.want.Revision }
+func (s *State) behind() bool { return s.haveCurrent && s.have.Fence > s.want.Revision }
 
-// wanted takes up a newer configuration; what was decided for an older one and
-// not sent yet is dropped.
-func (s *State) wanted(now time.Time, w Want) {
+// setWant adopts a newer configuration and drops an order that was decided for an
+// older one and not sent yet.
+func (s *State) setWant(now time.Time, w Want) {
 	if w.Revision <= s.want.Revision {
 		return
 	}
 	s.want = w
-	s.checking = nil
-	s.lookAt = now
+	s.validating = nil
+	s.observeAt = now
 }
 
 func (s *State) observeFailed(now time.Time, id uint64) {
-	if id != s.lookID {
+	if id != s.observeID {
 		return
 	}
 	s.observing = false
-	s.later(now)
+	s.scheduleRetry(now)
 }
 
 func (s *State) observed(now time.Time, ev Observed) {
-	if ev.ID != s.lookID {
+	if ev.ID != s.observeID {
 		return
 	}
 	s.observing = false
-	s.have, s.known = ev.Have, true
-	s.lookAt = now.Add(s.cfg.ObserveEvery)
-	if s.sent == nil || !s.unsure {
+	s.have, s.haveCurrent = ev.Have, true
+	s.observeAt = now.Add(s.cfg.ObserveEvery)
+	if s.sent == nil || !s.unanswered {
 		return
 	}
-	if s.shows(*s.sent) || now.Sub(s.sentAt) >= s.cfg.WaitOut {
-		s.sent, s.unsure = nil, false
+	if s.tookEffect(*s.sent) || now.Sub(s.sentAt) >= s.cfg.WaitOut {
+		s.sent, s.unanswered = nil, false
 		return
 	}
-	s.lookAt = now.Add(s.cfg.Retry)
+	s.observeAt = now.Add(s.cfg.Retry)
 }
 
-// shows reports whether the engine has what the order was for.
-func (s *State) shows(o Order) bool {
+// tookEffect reports whether the observed state shows the effect of the order.
+func (s *State) tookEffect(o Order) bool {
 	switch o.Verb {
 	case Load:
 		return slices.Contains(s.have.Items, o.Item)
@@ -159,25 +162,25 @@
 }
 
 func (s *State) granted(p Permit) {
-	if s.acquiring != p {
+	if s.requestedPermit != p {
 		s.emit(Release{Permit: p})
 		return
 	}
-	s.acquiring, s.held = NoPermit, p
+	s.requestedPermit, s.heldPermit = NoPermit, p
 }
 
 func (s *State) validated(now time.Time, ev Validated) {
-	o := s.checking
-	s.checking = nil
+	o := s.validating
+	s.validating = nil
 	if o == nil {
 		return
 	}
 	if !ev.OK || ev.Revision != o.Fence {
-		s.later(now)
+		s.scheduleRetry(now)
 		return
 	}
-	s.sent, s.sentAt, s.known = o, now, false
-	s.lookID++
+	s.sent, s.sentAt, s.haveCurrent = o, now, false
+	s.observeID++
 	s.observing = false
 	s.emit(Send{Order: *o})
 }
@@ -186,9 +189,9 @@
 	if s.sent == nil || s.sent.ID != ev.ID {
 		return
 	}
-	s.sent, s.unsure = nil, false
-	s.lookAt = now
+	s.sent, s.unanswered = nil, false
+	s.observeAt = now
 	if ev.Refused {
-		s.later(now)
+		s.scheduleRetry(now)
 	}
 }
--- a/coordination/orders/orders_test.go
+++ b/coordination/orders/orders_test.go
@@ -14,31 +14,31 @@
 
 func item(name, version string) Item { return Item{Name: name, Version: version} }
 
-// world is an engine and the platform as far as the orders see them.
-type world struct {
+// simulation is a model of the engine and the platform.
+type simulation struct {
 	s       *State
 	now     time.Time
 	have    Have
-	held    map[Permit]int
+	granted map[Permit]int
 	paused  bool
 	running int
-	// newest is the revision that a validation tells.
+	// newest is the revision that a validation reports.
 	newest uint64
-	// late holds orders without an answer that have not taken effect yet.
-	late []Order
-	// choose returns a number below n, for what may go either way.
-	choose func(n int) int
-	orders []Order
-	events []Event
-	bad    string
+	// delayed holds the unanswered orders that have not taken effect yet.
+	delayed []Order
+	// choose returns a number below n; it decides which faults occur.
+	choose    func(n int) int
+	orders    []Order
+	events    []Event
+	violation string
 }
 
-func newWorld(choose func(int) int) *world {
-	return &world{s: New(DefaultConfig()), now: start, held: map[Permit]int{}, choose: choose}
+func newSimulation(choose func(int) int) *simulation {
+	return &simulation{s: New(DefaultConfig()), now: start, granted: map[Permit]int{}, choose: choose}
 }
 
-// step feeds the event and, one after the other, those that it leads to.
-func (w *world) step(ev Event) {
+// step applies the event and then, in sequence, the events that follow from it.
+func (w *simulation) step(ev Event) {
 	w.events = append(w.events, ev)
 	if len(w.events) > 1 {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-func (w *world) perform(a Action) {
+func (w *simulation) perform(a Action) {
 	switch a := a.(type) {
 	case Observe:
 		if w.choose(8) == 1 {
@@ -64,10 +64,10 @@
 			w.step(Denied(a))
 			return
 		}
-		w.held[a.Permit]++
+		w.granted[a.Permit]++
 		w.step(Granted(a))
 	case Release:
-		w.held[a.Permit]--
+		w.granted[a.Permit]--
 	case Pause:
 		w.paused = a.On
 	case Validate:
@@ -77,20 +77,20 @@
 	}
 }
 
-func (w *world) send(o Order) {
+func (w *simulation) send(o Order) {
 	switch {
-	case len(w.late) > 0 && w.now.Sub(w.s.sentAt) < w.s.cfg.WaitOut:
-		w.bad = "an order was sent while another could take effect"
+	case len(w.delayed) > 0 && w.now.Sub(w.s.sentAt) < w.s.cfg.WaitOut:
+		w.violation = "an order was sent while an unanswered one could still take effect"
 	case o.Fence != w.newest:
-		w.bad = "an order of an older configuration"
-	case w.held[permitFor(o.Verb)] != 1:
-		w.bad = "an order without its permit"
+		w.violation = "an order was sent for an older configuration"
+	case w.granted[permitFor(o.Verb)] != 1:
+		w.violation = "an order was sent without its permit"
 	case o.Verb == SetRole && (!w.paused || w.running > 0):
-		w.bad = "a change of role while requests run"
+		w.violation = "the role was changed while requests were running"
 	}
 	w.orders = append(w.orders, o)
 	if w.choose(5) == 1 {
-		w.late = append(w.late, o)
+		w.delayed = append(w.delayed, o)
 		w.step(Unanswered{ID: o.ID})
 		return
 	}
@@ -98,7 +98,7 @@
 	w.step(Answered{ID: o.ID})
 }
 
-func (w *world) apply(o Order) {
+func (w *simulation) apply(o Order) {
 	w.have.Fence = max(w.have.Fence, o.Fence)
 	switch o.Verb {
 	case Load:
@@ -110,27 +110,27 @@
 	}
 }
 
-func (w *world) pass(d time.Duration) {
+func (w *simulation) advanceTime(d time.Duration) {
 	w.now = w.now.Add(d)
-	for _, o := range w.late {
+	for _, o := range w.delayed {
 		w.apply(o)
 	}
-	w.late = nil
+	w.delayed = nil
 	w.step(Ticked{})
 }
 
-func never(int) int { return 0 }
+func noFaults(int) int { return 0 }
 
 func TestLoadsBeforeItUnloads(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(never)
+	w := newSimulation(noFaults)
 	w.have = Have{Items: []Item{item("m", "1")}, Role: "mixed"}
 	w.newest = 5
 	w.step(Wanted{Want{Revision: 5, Items: []Item{item("m", "2"), {Adapter: true, Name: "a", Version: "1"}}, Role: "decode"}})
 	for range 20 {
-		w.pass(time.Second)
+		w.advanceTime(time.Second)
 	}
-	c.Assert(w.bad, qt.Equals, "")
+	c.Assert(w.violation, qt.Equals, "")
 	var verbs []Verb
 	for _, o := range w.orders {
 		verbs = append(verbs, o.Verb)
@@ -138,51 +138,51 @@
 	}
 	c.Assert(verbs, qt.DeepEquals, []Verb{Load, Load, SetRole, Unload})
 	c.Assert(w.paused, qt.IsFalse)
-	c.Assert(w.held[PermitLoad]+w.held[PermitWave], qt.Equals, 0)
+	c.Assert(w.granted[PermitLoad]+w.granted[PermitWave], qt.Equals, 0)
 	c.Assert(w.s.Progress().Left, qt.Equals, 0)
 }
 
-func TestLeavesAnUnmanagedEngineAlone(t *testing.T) {
-	w := newWorld(never)
+func TestSendsNoOrdersToUnmanagedEngine(t *testing.T) {
+	w := newSimulation(noFaults)
 	w.have = Have{Items: []Item{item("m", "1")}}
 	w.step(Wanted{Want{Revision: 1}})
-	w.pass(time.Hour)
+	w.advanceTime(time.Hour)
 	qt.Assert(t, w.orders, qt.HasLen, 0)
 }
 
-// What an engine had before an order is no word on what it has after it, even
-// if that answer comes late.
-func TestALateObservationGivesNoOrderTwice(t *testing.T) {
+// An observation requested before an order, but answered after it, shows the
+// engine's state before the order. Using it would send the same order twice.
+func TestOutdatedObservationDoesNotRepeatOrder(t *testing.T) {
 	c := qt.New(t)
 	s := New(DefaultConfig())
 	want := Want{Revision: 1, Items: []Item{item("m", "1")}}
 	s.Step(start, Wanted{want})
-	s.Step(start, Observed{ID: s.lookID})
+	s.Step(start, Observed{ID: s.observeID})
 	s.Step(start, Granted{PermitLoad})
 	now := start.Add(s.cfg.ObserveEvery)
-	looks := s.Step(now, Ticked{})
-	c.Assert(looks, qt.HasLen, 1)
-	late, ok := looks[0].(Observe)
+	observes := s.Step(now, Ticked{})
+	c.Assert(observes, qt.HasLen, 1)
+	late, ok := observes[0].(Observe)
 	c.Assert(ok, qt.IsTrue)
 	sent := s.Step(now, Validated{OK: true, Revision: 1})
 	s.Step(now, Answered{ID: sent[0].(Send).Order.ID})
-	c.Assert(s.Step(now, Observed{ID: late.ID}), qt.HasLen, 0, qt.Commentf("the engine had nothing when it was asked"))
+	c.Assert(s.Step(now, Observed{ID: late.ID}), qt.HasLen, 0, qt.Commentf("the observation was requested before the order"))
 }
 
-func TestGivesNoOrderWhenTheEngineSawANewerFence(t *testing.T) {
-	w := newWorld(never)
+func TestSendsNoOrderWhenEngineSawNewerFence(t *testing.T) {
+	w := newSimulation(noFaults)
 	w.have, w.newest = Have{Fence: 9}, 8
 	w.step(Wanted{Want{Revision: 8, Items: []Item{item("m", "1")}}})
-	w.pass(time.Hour)
+	w.advanceTime(time.Hour)
 	qt.Assert(t, w.orders, qt.HasLen, 0)
 	qt.Assert(t, w.s.Progress().Behind, qt.IsTrue)
 }
 
-func TestWaitsOutAnOrderWithoutAnswer(t *testing.T) {
+func TestUnansweredOrderBlocksOthersUntilWaitOut(t *testing.T) {
 	c := qt.New(t)
 	s := New(DefaultConfig())
 	s.Step(start, Wanted{Want{Revision: 1, Items: []Item{item("m", "1")}}})
-	s.Step(start, Observed{ID: s.lookID})
+	s.Step(start, Observed{ID: s.observeID})
 	s.Step(start, Granted{PermitLoad})
 	got := s.Step(start, Validated{OK: true, Revision: 1})
 	c.Assert(got, qt.HasLen, 1)
@@ -195,18 +195,18 @@
 				t.Fatalf("%T after %s", a, now.Sub(start))
 			}
 		}
-		s.Step(now, Observed{ID: s.lookID})
+		s.Step(now, Observed{ID: s.observeID})
 	}
 	c.Assert(s.Progress().Sent, qt.IsNil)
 }
 
-// Whatever fails in between: no order overtakes another, none is of an old
-// configuration or without its permit, and in the end the engine has what is
-// wanted and every permit is back.
+// With any sequence of faults, no order overtakes another, none is sent for an
+// old configuration or without its permit. Once the faults stop, the engine
+// reaches the desired state and every permit is released.
 func TestReconciles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		failing := true
-		w := newWorld(func(n int) int {
+		w := newSimulation(func(n int) int {
 			if !failing {
 				return 0
 			}
@@ -220,34 +220,34 @@
 				want.Items = append(want.Items, item("m", v))
 			}
 			w.newest = want.Revision
-			if rapid.Bool().Draw(t, "heard late") {
-				w.pass(time.Second)
+			if rapid.Bool().Draw(t, "configuration delayed") {
+				w.advanceTime(time.Second)
 			}
 			w.step(Wanted{want})
 			for range rapid.IntRange(0, 12).Draw(t, "steps") {
 				w.running = rapid.IntRange(0, 1).Draw(t, "running")
 				w.step(Running{w.running})
-				w.pass(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
+				w.advanceTime(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 			}
 		}
 		failing, w.running = false, 0
 		w.step(Running{})
 		for range 60 {
-			w.pass(10 * time.Second)
+			w.advanceTime(10 * time.Second)
 		}
 		for _, i := range want.Items {
 			if !slices.Contains(w.have.Items, i) {
-				w.bad = "something wanted is missing"
+				w.violation = "a wanted item is missing"
 			}
 		}
 		if len(w.have.Items) != len(want.Items) || (want.Role != "" && w.have.Role != want.Role) {
-			w.bad = "the engine has something else"
+			w.violation = "the engine has an unwanted item or role"
 		}
-		if w.held[PermitLoad] != 0 || w.held[PermitWave] != 0 || w.paused {
-			w.bad = fmt.Sprintf("something was not given back: %v %v %+v", w.held, w.paused, w.s.Progress())
+		if w.granted[PermitLoad] != 0 || w.granted[PermitWave] != 0 || w.paused {
+			w.violation = fmt.Sprintf("a permit was not released or admission not resumed: %v %v %+v", w.granted, w.paused, w.s.Progress())
 		}
-		if w.bad != "" {
-			t.Fatalf("%s: want %+v have %+v orders %+v", w.bad, want, w.have, w.orders)
+		if w.violation != "" {
+			t.Fatalf("%s: want %+v have %+v orders %+v", w.violation, want, w.have, w.orders)
 		}
 	})
 }
--- a/coordination/orders/todo.go
+++ b/coordination/orders/todo.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// todo returns the orders still to give, in their order: first what adds, so
-// that a pool keeps its capacity, then the role, then what takes away.
-func (s *State) todo() []Order {
-	if !s.want.Managed() || !s.known {
+// pendingOrders returns the orders that remain to be sent, in sequence: loads
+// first, so that the pool keeps its capacity, then the role, then unloads.
+func (s *State) pendingOrders() []Order {
+	if !s.want.Managed() || !s.haveCurrent {
 		return nil
 	}
 	var out []Order
@@ -28,7 +28,7 @@
 	return out
 }
 
-// permitFor returns what an order needs.
+// permitFor returns the permit that an order with the verb needs.
 func permitFor(v Verb) Permit {
 	if v == Load {
 		return PermitLoad
@@ -36,60 +36,60 @@
 	return PermitWave
 }
 
-// advance takes the next step that is possible now.
+// advance emits the actions that are possible now.
 func (s *State) advance(now time.Time) {
 	if !s.want.Managed() {
-		s.rest()
+		s.finish()
 		return
 	}
-	s.look(now)
-	if s.sent != nil || s.checking != nil || !s.known || s.behind() || now.Before(s.retryAt) {
+	s.observe(now)
+	if s.sent != nil || s.validating != nil || !s.haveCurrent || s.behind() || now.Before(s.retryAt) {
 		return
 	}
-	todo := s.todo()
-	if len(todo) == 0 {
-		s.rest()
+	pending := s.pendingOrders()
+	if len(pending) == 0 {
+		s.finish()
 		return
 	}
-	next := todo[0]
+	next := pending[0]
 	if !s.permitted(permitFor(next.Verb)) || !s.idle(now, next) {
 		return
 	}
 	s.lastID++
 	next.ID = s.lastID
-	s.checking = &next
+	s.validating = &next
 	s.emit(Validate{})
 }
 
-// look reads what the engine has when it is time to.
-func (s *State) look(now time.Time) {
-	waits := s.sent != nil && !s.unsure
-	if s.observing || waits || now.Before(s.lookAt) || now.Before(s.retryAt) {
+// observe reads the engine's state when that is due.
+func (s *State) observe(now time.Time) {
+	awaitingAnswer := s.sent != nil && !s.unanswered
+	if s.observing || awaitingAnswer || now.Before(s.observeAt) || now.Before(s.retryAt) {
 		return
 	}
 	s.observing = true
-	s.lookID++
-	s.emit(Observe{ID: s.lookID})
+	s.observeID++
+	s.emit(Observe{ID: s.observeID})
 }
 
-// permitted reports whether the permit is held and asks for it if not.
+// permitted reports whether the permit is held, and requests it if not.
 func (s *State) permitted(p Permit) bool {
-	if s.held == p {
+	if s.heldPermit == p {
 		return true
 	}
-	if s.held != NoPermit {
-		s.emit(Release{Permit: s.held})
-		s.held = NoPermit
+	if s.heldPermit != NoPermit {
+		s.emit(Release{Permit: s.heldPermit})
+		s.heldPermit = NoPermit
 	}
-	if s.acquiring == NoPermit {
-		s.acquiring = p
+	if s.requestedPermit == NoPermit {
+		s.requestedPermit = p
 		s.emit(Acquire{Permit: p})
 	}
 	return false
 }
 
-// idle pauses the backend server before its role changes and reports whether
-// it serves nothing any more.
+// idle pauses the backend server before its role changes, and reports whether
+// the order may be sent: no request is running, or IdleWait has passed.
 func (s *State) idle(now time.Time, o Order) bool {
 	if o.Verb != SetRole {
 		return true
@@ -102,14 +102,14 @@
 	return s.running == 0 || now.Sub(s.pausedAt) > s.cfg.IdleWait
 }
 
-// rest gives back what is not needed when nothing is left to do.
-func (s *State) rest() {
+// finish resumes admission and releases the permit when no order remains.
+func (s *State) finish() {
 	if s.paused {
 		s.paused = false
 		s.emit(Pause{On: false})
 	}
-	if s.held != NoPermit {
-		s.emit(Release{Permit: s.held})
-		s.held = NoPermit
+	if s.heldPermit != NoPermit {
+		s.emit(Release{Permit: s.heldPermit})
+		s.heldPermit = NoPermit
 	}
 }
