--- a/coordination/confirm/confirm.go
+++ b/coordination/confirm/confirm.go
@@ -1,13 +1,14 @@
 // Package confirm decides how a plan becomes the next revision on the
 // platform, or why it can't.
 //
-// The platform's compare-and-swap on one key decides which revision follows
-// which, so accepted revisions form one line. Two rules make this safe although
-// answers are lost and routers stop at any step:
+// Revisions are ordered by the platform's compare-and-swap on one key, the head,
+// so the accepted revisions form a linear history. Two rules make this safe when
+// answers are lost or a router stops at any step:
 //
-//   - a revision is overwritten only after its history entry stands, so every
-//     accepted revision can be found later;
-//   - a write without an answer is settled by reading back, never by guessing.
+//   - a revision is overwritten only after its history entry has been written,
+//     so every accepted revision can be found later;
+//   - the outcome of a write without an answer is determined by reading back; it
+//     is never assumed.
 //
 // The package is a pure state machine; the driver is transport/operators.
 //
@@ -16,16 +17,16 @@
 
 import "goldcrestport/state/config"
 
-// Proposal is a plan to be confirmed or settled.
+// Proposal is a plan to be confirmed or looked up.
 type Proposal struct {
-	// Base is the revision that the plan changes, 0 for none.
+	// Base is the revision that the plan applies to, 0 for none.
 	Base uint64
 	// Digest of the plan.
 	Digest string
-	// Next is the wanted content with its Acceptance. Nil means that the fate
-	// of the plan is only looked up.
+	// Next is the proposed content with its Acceptance. If it is nil, the
+	// outcome of the plan is only looked up.
 	Next *config.Document
-	// Attempts bounds the calls of the platform that may go wrong.
+	// Attempts is the maximum number of failed platform calls.
 	Attempts int
 }
 
@@ -35,20 +36,22 @@
 const (
 	// Accepted means that the plan is revision Base+1.
 	Accepted Kind = iota + 1
-	// Stale means that the plan isn't and never will be a revision: another
-	// one followed the base.
+	// Stale means that the plan is not and never will be a revision: another
+	// plan became revision Base+1, or the head is older than the base.
 	Stale
-	// Open means that nothing followed the base yet, so the plan may still be
-	// confirmed. It is the result of looking up only.
+	// Open means that the base is still the newest revision, so the plan may
+	// still be confirmed. Only a lookup has this result.
 	Open
-	// Unavailable means that the platform can't be asked now and this
-	// confirmation wrote nothing.
+	// Unavailable means that the platform can't be reached now and this
+	// confirmation did not change the head.
 	Unavailable
-	// Unsettled means that a write may or may not have taken effect.
+	// Unsettled means that a write of the head may or may not have taken
+	// effect.
 	Unsettled
-	// Forgotten means that the history no longer reaches back to the plan.
+	// Forgotten means that the history entry needed to decide the outcome has
+	// been overwritten.
 	Forgotten
-	// TooLarge means that the document doesn't fit on the platform.
+	// TooLarge means that the document exceeds the platform's size limit.
 	TooLarge
 )
 
@@ -64,17 +67,18 @@
 // Event is the answer to an Action.
 type Event interface{ isEvent() }
 
-// Started begins the confirmation.
+// Started starts the confirmation.
 type Started struct{}
 
-// HeadRead is the newest revision, nil if there is none, with its version on
+// HeadRead carries the newest revision, nil if there is none, and its version on
 // the platform.
 type HeadRead struct {
 	Head    *config.Document
 	Version uint64
 }
 
-// EntryRead is a history entry, nil if its place is empty, with its version.
+// EntryRead carries a history entry, nil if its slot is empty, and the slot's
+// version.
 type EntryRead struct {
 	Entry   *config.Document
 	Version uint64
@@ -83,28 +87,31 @@
 // ReadFailed means that a read got no answer.
 type ReadFailed struct{}
 
-// EntryWritten means that the history entry stands.
+// EntryWritten means that the history entry was written.
 type EntryWritten struct{}
 
-// EntryInDoubt means that the history entry may or may not stand.
+// EntryInDoubt means that the history entry may or may not have been written.
 type EntryInDoubt struct{}
 
 // HeadWritten means that the head was swapped.
 type HeadWritten struct{}
 
-// HeadConflict means that the head has another version.
+// HeadConflict means that the head has a different version, so nothing was
+// written.
 type HeadConflict struct{}
 
-// HeadRefused means that the write was refused and had no effect.
+// HeadRefused means that the platform refused the write of the head, which had
+// no effect.
 type HeadRefused struct{}
 
-// HeadInDoubt means that the answer to the write was lost.
+// HeadInDoubt means that the write of the head got no answer and may or may not
+// have taken effect.
 type HeadInDoubt struct{}
 
-// HeadTooLarge means that the document doesn't fit.
+// HeadTooLarge means that the document exceeds the platform's size limit.
 type HeadTooLarge struct{}
 
-// Expired ends the confirmation because its time is over.
+// Expired ends the confirmation because its deadline has passed.
 type Expired struct{}
 
 func (Started) isEvent()      {}
@@ -120,25 +127,27 @@
 func (HeadTooLarge) isEvent() {}
 func (Expired) isEvent()      {}
 
-// Action is what the driver does next.
+// Action is the next operation for the driver to perform.
 type Action interface{ isAction() }
 
-// ReadHead reads the newest revision. Pause asks to wait first.
+// ReadHead reads the newest revision, after a delay if Pause is set.
 type ReadHead struct{ Pause bool }
 
-// ReadEntry reads the history entry of the revision. Pause asks to wait first.
+// ReadEntry reads the history entry of the revision, after a delay if Pause is
+// set.
 type ReadEntry struct {
 	Revision uint64
 	Pause    bool
 }
 
-// WriteEntry puts the history entry in its place if that has the version.
+// WriteEntry writes the history entry to its slot by compare-and-swap on the
+// version.
 type WriteEntry struct {
 	Entry   *config.Document
 	Version uint64
 }
 
-// WriteHead swaps the head if it has the version.
+// WriteHead replaces the head by compare-and-swap on the version.
 type WriteHead struct {
 	Document *config.Document
 	Version  uint64
@@ -147,12 +156,12 @@
 // Done ends the confirmation.
 type Done struct {
 	Kind Kind
-	// Document is the accepted revision as far as it is known: whole if it is
-	// the head, else its history entry.
+	// Document is the accepted revision: the full document if it is the head,
+	// otherwise only its history entry.
 	Document *config.Document
 	// Head is the newest revision that was read, nil if none.
 	Head *config.Document
-	// Own tells that this confirmation made the revision.
+	// Own is true if this confirmation may have written the revision itself.
 	Own bool
 }
 
--- a/coordination/confirm/confirm_test.go
+++ b/coordination/confirm/confirm_test.go
@@ -9,12 +9,11 @@
 	"goldcrestport/state/config"
 )
 
-// revision returns a document with the revision and digest.
 func revision(n uint64, digest string) *config.Document {
 	return &config.Document{Revision: n, PlanDigest: digest}
 }
 
-// run feeds the events and returns the last action.
+// run applies the events and returns the last action.
 func run(p confirm.Proposal, events ...confirm.Event) confirm.Action {
 	s := confirm.New(p)
 	action := s.Step(confirm.Started{})
@@ -32,8 +31,8 @@
 }
 
 func TestResults(t *testing.T) {
-	wish := confirm.Proposal{Base: 4, Digest: "mine", Next: &config.Document{}, Attempts: 5}
-	look := confirm.Proposal{Base: 4, Digest: "mine", Attempts: 5}
+	propose := confirm.Proposal{Base: 4, Digest: "mine", Next: &config.Document{}, Attempts: 5}
+	lookUp := confirm.Proposal{Base: 4, Digest: "mine", Attempts: 5}
 	at := func(n uint64, digest string) confirm.Event {
 		return confirm.HeadRead{Head: revision(n, digest), Version: n}
 	}
@@ -44,24 +43,24 @@
 		events []confirm.Event
 		kind   confirm.Kind
 	}{
-		{"accepted", wish, []confirm.Event{at(4, "x"), confirm.EntryRead{}, confirm.EntryWritten{}, confirm.HeadWritten{}}, confirm.Accepted},
-		{"entry stands", wish, []confirm.Event{at(4, "x"), entry(4, "x"), confirm.HeadWritten{}}, confirm.Accepted},
-		{"stands already", wish, []confirm.Event{at(5, "mine")}, confirm.Accepted},
-		{"stands and was followed", wish, []confirm.Event{at(9, "y"), entry(5, "mine")}, confirm.Accepted},
-		{"another followed", wish, []confirm.Event{at(5, "theirs")}, confirm.Stale},
-		{"another followed long ago", wish, []confirm.Event{at(9, "y"), entry(5, "theirs")}, confirm.Stale},
-		{"base not reached", wish, []confirm.Event{at(3, "x")}, confirm.Stale},
-		{"no base at all", wish, []confirm.Event{confirm.HeadRead{}}, confirm.Stale},
-		{"entry overwritten", wish, []confirm.Event{at(20000, "y"), entry(10005, "z")}, confirm.Forgotten},
-		{"lost answer, took effect", wish, []confirm.Event{at(4, "x"), entry(4, "x"), confirm.HeadInDoubt{}, at(5, "mine")}, confirm.Accepted},
-		{"lost answer, another won", wish, []confirm.Event{at(4, "x"), entry(4, "x"), confirm.HeadInDoubt{}, at(5, "theirs")}, confirm.Stale},
-		{"lost answer, then no time", wish, []confirm.Event{at(4, "x"), entry(4, "x"), confirm.HeadInDoubt{}, confirm.Expired{}}, confirm.Unsettled},
-		{"lost answer, then refused, then no time", wish, []confirm.Event{at(4, "x"), entry(4, "x"), confirm.HeadInDoubt{}, at(4, "x"), entry(4, "x"), confirm.HeadRefused{}, confirm.Expired{}}, confirm.Unsettled},
-		{"refused, then no time", wish, []confirm.Event{at(4, "x"), entry(4, "x"), confirm.HeadRefused{}, confirm.Expired{}}, confirm.Unavailable},
-		{"no answers", wish, []confirm.Event{confirm.ReadFailed{}, confirm.ReadFailed{}, confirm.ReadFailed{}, confirm.ReadFailed{}, confirm.ReadFailed{}, confirm.ReadFailed{}}, confirm.Unavailable},
-		{"too large", wish, []confirm.Event{at(4, "x"), entry(4, "x"), confirm.HeadTooLarge{}}, confirm.TooLarge},
-		{"look up: open", look, []confirm.Event{at(4, "x")}, confirm.Open},
-		{"look up: accepted", look, []confirm.Event{at(5, "mine")}, confirm.Accepted},
+		{"accepted", propose, []confirm.Event{at(4, "x"), confirm.EntryRead{}, confirm.EntryWritten{}, confirm.HeadWritten{}}, confirm.Accepted},
+		{"entry already written", propose, []confirm.Event{at(4, "x"), entry(4, "x"), confirm.HeadWritten{}}, confirm.Accepted},
+		{"already accepted", propose, []confirm.Event{at(5, "mine")}, confirm.Accepted},
+		{"already accepted, then followed", propose, []confirm.Event{at(9, "y"), entry(5, "mine")}, confirm.Accepted},
+		{"another followed", propose, []confirm.Event{at(5, "theirs")}, confirm.Stale},
+		{"another followed long ago", propose, []confirm.Event{at(9, "y"), entry(5, "theirs")}, confirm.Stale},
+		{"base not reached", propose, []confirm.Event{at(3, "x")}, confirm.Stale},
+		{"no base at all", propose, []confirm.Event{confirm.HeadRead{}}, confirm.Stale},
+		{"entry overwritten", propose, []confirm.Event{at(20000, "y"), entry(10005, "z")}, confirm.Forgotten},
+		{"lost answer, took effect", propose, []confirm.Event{at(4, "x"), entry(4, "x"), confirm.HeadInDoubt{}, at(5, "mine")}, confirm.Accepted},
+		{"lost answer, another won", propose, []confirm.Event{at(4, "x"), entry(4, "x"), confirm.HeadInDoubt{}, at(5, "theirs")}, confirm.Stale},
+		{"lost answer, then no time", propose, []confirm.Event{at(4, "x"), entry(4, "x"), confirm.HeadInDoubt{}, confirm.Expired{}}, confirm.Unsettled},
+		{"lost answer, then refused, then no time", propose, []confirm.Event{at(4, "x"), entry(4, "x"), confirm.HeadInDoubt{}, at(4, "x"), entry(4, "x"), confirm.HeadRefused{}, confirm.Expired{}}, confirm.Unsettled},
+		{"refused, then no time", propose, []confirm.Event{at(4, "x"), entry(4, "x"), confirm.HeadRefused{}, confirm.Expired{}}, confirm.Unavailable},
+		{"no answers", propose, []confirm.Event{confirm.ReadFailed{}, confirm.ReadFailed{}, confirm.ReadFailed{}, confirm.ReadFailed{}, confirm.ReadFailed{}, confirm.ReadFailed{}}, confirm.Unavailable},
+		{"too large", propose, []confirm.Event{at(4, "x"), entry(4, "x"), confirm.HeadTooLarge{}}, confirm.TooLarge},
+		{"look up: open", lookUp, []confirm.Event{at(4, "x")}, confirm.Open},
+		{"look up: accepted", lookUp, []confirm.Event{at(5, "mine")}, confirm.Accepted},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/coordination/confirm/interleave_test.go
+++ b/coordination/confirm/interleave_test.go
@@ -10,27 +10,29 @@
 	"goldcrestport/state/config"
 )
 
-// ringSlots is small, so that entries are overwritten within a test.
+// ringSlots is the number of history slots; it is small, so that entries are
+// overwritten within a test.
 const ringSlots = 4
 
-// cell is one key of the platform.
+// cell is the value of one key on the platform.
 type cell struct {
 	doc     *config.Document
 	version uint64
 }
 
-// world is the platform and the writes that are still on their way to it.
-type world struct {
+// fakePlatform is a model of the platform, with the writes that are still in
+// flight.
+type fakePlatform struct {
 	head    cell
 	ring    [ringSlots]cell
 	version uint64
-	late    []confirm.Action
-	// line holds the digest of each revision that the head ever had.
-	line []string
+	delayed []confirm.Action
+	// accepted holds the digest of each revision that the head has had.
+	accepted []string
 }
 
 // write performs a compare-and-swap and reports whether it took effect.
-func (w *world) write(a confirm.Action) bool {
+func (w *fakePlatform) write(a confirm.Action) bool {
 	target, doc, expect := &w.head, (*config.Document)(nil), uint64(0)
 	switch a := a.(type) {
 	case confirm.WriteHead:
@@ -44,13 +46,13 @@
 	w.version++
 	*target = cell{doc, w.version}
 	if target == &w.head {
-		w.line = append(w.line, doc.PlanDigest)
+		w.accepted = append(w.accepted, doc.PlanDigest)
 	}
 	return true
 }
 
-// answer performs the action with a drawn fault and returns its event.
-func (w *world) answer(t *rapid.T, action confirm.Action) confirm.Event {
+// answer performs the action with a random fault and returns the resulting event.
+func (w *fakePlatform) answer(t *rapid.T, action confirm.Action) confirm.Event {
 	fault := rapid.SampledFrom([]string{"none", "none", "none", "lost before", "lost after", "late", "refused", "expired"}).Draw(t, "fault")
 	switch a := action.(type) {
 	case confirm.ReadHead:
@@ -68,7 +70,7 @@
 		c := w.ring[a.Revision%ringSlots]
 		return confirm.EntryRead{Entry: c.doc, Version: c.version}
 	case confirm.WriteEntry:
-		if w.faulty(fault, action) || !w.write(action) {
+		if w.applyFault(fault, action) || !w.write(action) {
 			return confirm.EntryInDoubt{}
 		}
 		return confirm.EntryWritten{}
@@ -76,7 +78,7 @@
 		if fault == "refused" {
 			return confirm.HeadRefused{}
 		}
-		if w.faulty(fault, action) {
+		if w.applyFault(fault, action) {
 			return confirm.HeadInDoubt{}
 		}
 		if !w.write(action) {
@@ -86,31 +88,32 @@
 	}
 }
 
-// faulty applies a fault after which the writer knows nothing.
-func (w *world) faulty(fault string, action confirm.Action) bool {
+// applyFault applies a fault after which the writer doesn't know the outcome, and
+// reports whether there was one.
+func (w *fakePlatform) applyFault(fault string, action confirm.Action) bool {
 	switch fault {
 	case "lost before":
 	case "lost after":
 		w.write(action)
 	case "late":
-		w.late = append(w.late, action)
+		w.delayed = append(w.delayed, action)
 	default:
 		return false
 	}
 	return true
 }
 
-// operator is one confirmation under way.
+// operator is one confirmation in progress.
 type operator struct {
 	proposal confirm.Proposal
 	state    *confirm.State
 	action   confirm.Action
-	// sent tells that a write of the head left for the platform.
+	// sent is true if a write of the head without an answer was sent.
 	sent bool
 }
 
-func (w *world) newOperator(n int, base uint64, lookUp bool) *operator {
-	// Some operators confirm the same plan at once.
+func (w *fakePlatform) newOperator(n int, base uint64, lookUp bool) *operator {
+	// Some operators confirm the same plan concurrently.
 	digest := fmt.Sprintf("%d-%d", base, n%3)
 	p := confirm.Proposal{Base: base, Digest: digest, Attempts: 4}
 	if !lookUp {
@@ -120,51 +123,52 @@
 	return &operator{proposal: p, state: s, action: s.Step(confirm.Started{})}
 }
 
-// check compares what an operator is told with the line.
-func (w *world) check(t *rapid.T, o *operator, done confirm.Done) {
+// check compares the result of a confirmation with the accepted revisions.
+func (w *fakePlatform) check(t *rapid.T, o *operator, done confirm.Done) {
 	base := int(o.proposal.Base)
-	followed := len(w.line) > base
-	mine := followed && w.line[base] == o.proposal.Digest
+	followed := len(w.accepted) > base
+	isPlan := followed && w.accepted[base] == o.proposal.Digest
 	switch {
-	case done.Kind == confirm.Accepted && !mine:
-		t.Fatalf("told %q is accepted, the line is %v", o.proposal.Digest, w.line)
-	case done.Kind == confirm.Stale && (!followed || mine):
-		t.Fatalf("told %q is stale, the line is %v", o.proposal.Digest, w.line)
+	case done.Kind == confirm.Accepted && !isPlan:
+		t.Fatalf("%q was reported as accepted, but the accepted revisions are %v", o.proposal.Digest, w.accepted)
+	case done.Kind == confirm.Stale && (!followed || isPlan):
+		t.Fatalf("%q was reported as stale, but the accepted revisions are %v", o.proposal.Digest, w.accepted)
 	case done.Kind == confirm.Unavailable && o.sent:
-		t.Fatalf("told that nothing was written of %q, the line is %v", o.proposal.Digest, w.line)
+		t.Fatalf("%q was reported as not written after an unanswered write; the accepted revisions are %v", o.proposal.Digest, w.accepted)
 	case done.Kind == confirm.Accepted && done.Document.Revision != o.proposal.Base+1:
-		t.Fatalf("told %q is revision %d", o.proposal.Digest, done.Document.Revision)
-	case done.Kind == confirm.Forgotten && len(w.line) < base+ringSlots:
-		t.Fatalf("told %q is forgotten, the line is %v", o.proposal.Digest, w.line)
+		t.Fatalf("%q was reported as revision %d", o.proposal.Digest, done.Document.Revision)
+	case done.Kind == confirm.Forgotten && len(w.accepted) < base+ringSlots:
+		t.Fatalf("%q was reported as forgotten, but the accepted revisions are %v", o.proposal.Digest, w.accepted)
 	}
 }
 
-// checkHistory: every revision below the head that the ring still reaches has
-// its entry.
-func (w *world) checkHistory(t *rapid.T) {
-	for i := max(0, len(w.line)-ringSlots); i < len(w.line)-1; i++ {
+// checkHistory checks that every revision below the head that is recent enough to
+// be in the ring has its entry.
+func (w *fakePlatform) checkHistory(t *rapid.T) {
+	for i := max(0, len(w.accepted)-ringSlots); i < len(w.accepted)-1; i++ {
 		entry := w.ring[(i+1)%ringSlots].doc
-		if entry == nil || entry.Revision != uint64(i+1) || entry.PlanDigest != w.line[i] {
-			t.Fatalf("revision %d of %v has the entry %+v", i+1, w.line, entry)
+		if entry == nil || entry.Revision != uint64(i+1) || entry.PlanDigest != w.accepted[i] {
+			t.Fatalf("revision %d of %v has the entry %+v", i+1, w.accepted, entry)
 		}
 	}
 }
 
-// Operators interleaved in any order, with any fault at any step, are told
-// nothing false, and no accepted revision is lost or replaced.
+// With operators interleaved in any order and any fault at any step, every
+// confirmation reports a correct result, and no accepted revision is lost or
+// replaced.
 func TestInterleavedConfirmations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{}
+		w := &fakePlatform{}
 		var running []*operator
 		for n := range rapid.IntRange(20, 200).Draw(t, "steps") {
 			switch pick := rapid.IntRange(0, 9).Draw(t, "pick"); {
 			case pick == 0 || len(running) == 0:
-				// Plans are against the head or somewhat older.
-				back := rapid.IntRange(0, min(2, len(w.line))).Draw(t, "back")
-				running = append(running, w.newOperator(n, uint64(len(w.line)-back), pick == 0 && n%4 == 0))
-			case pick == 1 && len(w.late) > 0:
-				w.write(w.late[0])
-				w.late = w.late[1:]
+				// The base of a plan is the head or up to two revisions older.
+				back := rapid.IntRange(0, min(2, len(w.accepted))).Draw(t, "back")
+				running = append(running, w.newOperator(n, uint64(len(w.accepted)-back), pick == 0 && n%4 == 0))
+			case pick == 1 && len(w.delayed) > 0:
+				w.write(w.delayed[0])
+				w.delayed = w.delayed[1:]
 			case pick == 2:
 				// The router stops.
 				running = running[1:]
--- a/coordination/confirm/state.go
+++ b/coordination/confirm/state.go
@@ -4,33 +4,33 @@
 
 // State is one confirmation. It must be used by one goroutine at a time.
 type State struct {
-	p       Proposal
-	head    *config.Document
-	version uint64
+	proposal Proposal
+	head     *config.Document
+	version  uint64
 	// entry is the revision whose history entry is being read.
-	entry uint64
-	// inDoubt tells that a write of the head may have taken effect.
-	inDoubt bool
-	failed  int
+	entryRevision uint64
+	// inDoubt is true if a write of the head may have taken effect.
+	inDoubt  bool
+	failures int
 }
 
-// New returns a confirmation that has not begun.
-func New(p Proposal) *State { return &State{p: p} }
+// New returns a confirmation that has not started.
+func New(p Proposal) *State { return &State{proposal: p} }
 
 // Step applies one event and returns the next action.
 func (s *State) Step(ev Event) Action {
 	switch ev := ev.(type) {
 	case HeadRead:
 		s.head, s.version = ev.Head, ev.Version
-		return s.judge()
+		return s.checkHead()
 	case EntryRead:
 		return s.entryRead(ev)
 	case EntryWritten:
 		return s.writeHead()
 	case EntryInDoubt:
-		return s.retry(ReadEntry{Revision: s.entry, Pause: true})
+		return s.retry(ReadEntry{Revision: s.entryRevision, Pause: true})
 	case ReadFailed:
-		return s.retry(s.again())
+		return s.retry(s.repeatRead())
 	case HeadWritten:
 		return s.done(Accepted, s.next(), true)
 	case HeadConflict:
@@ -49,22 +49,22 @@
 	}
 }
 
-// again repeats the read that failed.
-func (s *State) again() Action {
-	if s.entry > 0 {
-		return ReadEntry{Revision: s.entry, Pause: true}
+// repeatRead repeats the read that failed.
+func (s *State) repeatRead() Action {
+	if s.entryRevision > 0 {
+		return ReadEntry{Revision: s.entryRevision, Pause: true}
 	}
 	return ReadHead{Pause: true}
 }
 
-// retry returns the action unless too much went wrong.
+// retry returns the action, or gives up after too many failures.
 func (s *State) retry(a Action) Action {
-	s.failed++
-	if s.failed > s.p.Attempts {
+	s.failures++
+	if s.failures > s.proposal.Attempts {
 		return s.giveUp()
 	}
 	if _, isHead := a.(ReadHead); isHead {
-		s.entry = 0
+		s.entryRevision = 0
 	}
 	return a
 }
@@ -87,66 +87,67 @@
 	return s.head.Revision
 }
 
-// judge compares the head with the proposal.
-func (s *State) judge() Action {
+// checkHead compares the head with the proposal.
+func (s *State) checkHead() Action {
 	revision := s.headRevision()
 	switch {
-	case revision < s.p.Base:
+	case revision < s.proposal.Base:
 		return s.done(Stale, nil, false)
-	case revision == s.p.Base:
-		return s.fromBase()
-	case revision == s.p.Base+1:
+	case revision == s.proposal.Base:
+		return s.continueFromBase()
+	case revision == s.proposal.Base+1:
 		return s.compare(s.head)
 	default:
-		return s.readEntry(s.p.Base + 1)
+		return s.readEntry(s.proposal.Base + 1)
 	}
 }
 
-// fromBase goes on while the base is still the newest revision.
-func (s *State) fromBase() Action {
-	if s.p.Next == nil {
+// continueFromBase continues when the base is still the newest revision.
+func (s *State) continueFromBase() Action {
+	if s.proposal.Next == nil {
 		return s.done(Open, nil, false)
 	}
-	if s.p.Base == 0 {
+	if s.proposal.Base == 0 {
 		return s.writeHead()
 	}
-	return s.readEntry(s.p.Base)
+	return s.readEntry(s.proposal.Base)
 }
 
-// compare tells whether the revision that followed the base is this plan's.
+// compare reports whether the revision that followed the base is this plan.
 func (s *State) compare(followed *config.Document) Action {
-	if followed.PlanDigest == s.p.Digest {
+	if followed.PlanDigest == s.proposal.Digest {
 		return s.done(Accepted, followed, s.inDoubt)
 	}
 	return s.done(Stale, nil, false)
 }
 
 func (s *State) readEntry(revision uint64) Action {
-	s.entry = revision
+	s.entryRevision = revision
 	return ReadEntry{Revision: revision}
 }
 
 // entryRead handles the base's history entry before the swap, or the entry of
 // the revision that followed the base.
 func (s *State) entryRead(ev EntryRead) Action {
-	if s.entry == s.p.Base && s.headRevision() == s.p.Base {
-		return s.keepBase(ev)
+	if s.entryRevision == s.proposal.Base && s.headRevision() == s.proposal.Base {
+		return s.archiveBase(ev)
 	}
 	switch {
-	case ev.Entry == nil || ev.Entry.Revision < s.entry:
-		// A revision is overwritten only after its entry stands, so the
-		// entry is there unless someone else wrote the keys.
+	case ev.Entry == nil || ev.Entry.Revision < s.entryRevision:
+		// A revision is overwritten only after its entry is written, so the
+		// entry exists unless another program changed the keys.
 		return s.done(Forgotten, nil, false)
-	case ev.Entry.Revision > s.entry:
+	case ev.Entry.Revision > s.entryRevision:
 		return s.done(Forgotten, nil, false)
 	default:
 		return s.compare(ev.Entry)
 	}
 }
 
-// keepBase writes the base's entry unless its place holds that or a newer one.
-func (s *State) keepBase(ev EntryRead) Action {
-	if ev.Entry != nil && ev.Entry.Revision >= s.p.Base {
+// archiveBase writes the base's history entry, unless its slot already has that
+// entry or a newer one.
+func (s *State) archiveBase(ev EntryRead) Action {
+	if ev.Entry != nil && ev.Entry.Revision >= s.proposal.Base {
 		return s.writeHead()
 	}
 	return WriteEntry{Entry: Entry(s.head), Version: ev.Version}
@@ -162,17 +163,17 @@
 	if base == nil {
 		base = &config.Document{}
 	}
-	d := s.p.Next.Content()
+	d := s.proposal.Next.Content()
 	back := config.Between(d, base)
-	d.Revision = s.p.Base + 1
-	d.PlanDigest = s.p.Digest
-	d.Accepted = s.p.Next.Accepted
+	d.Revision = s.proposal.Base + 1
+	d.PlanDigest = s.proposal.Digest
+	d.Accepted = s.proposal.Next.Accepted
 	d.Back = &back
 	return d
 }
 
 // Entry returns the history entry of a revision: the document without its
-// content.
+// content, but with the patch that leads back to its predecessor.
 func Entry(d *config.Document) *config.Document {
 	return &config.Document{Revision: d.Revision, PlanDigest: d.PlanDigest, Accepted: d.Accepted, Back: d.Back}
 }
