--- a/coordination/spread/config.go
+++ b/coordination/spread/config.go
@@ -1,6 +1,6 @@
-// Package spread decides, in each process, how it comes to the newest
-// configuration and instance list: whether to wait at the platform, to read it,
-// or to fetch from a peer that has announced a newer revision.
+// Package spread decides how a process obtains the newest configuration and
+// instance list: by watching the platform for changes, by reading the platform,
+// or by fetching from a peer that has announced a newer revision.
 //
 // The package is a pure state machine: State.Step takes an event and the time
 // and returns the actions to perform. It has no I/O, clock or goroutines. The
@@ -15,41 +15,45 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config holds the parameters of the spread.
+// Config holds the parameters of the distribution.
 type Config struct {
 	// Self is the id of this process.
 	Self string
 	// DataCentre of this process.
 	DataCentre string
-	// Watches tells whether this process may watch the platform; routers may.
+	// Watches is true if this process may watch the platform; routers may.
 	Watches bool
-	// Watchers is the number of routers per data centre that wait at the
+	// Watchers is the number of routers per data centre that watch the
 	// platform for changes. Default 2.
 	Watchers int
-	// ReadBudget is what the slow reads of the whole fleet may cost the
-	// platform, in reads per second. Default 100.
+	// ReadBudget is the maximum rate of the periodic reads of all processes
+	// together, in reads per second. Default 100.
 	ReadBudget float64
-	// MinReadEvery is the shortest time between two slow reads of one process.
+	// MinReadEvery is the minimum interval of the periodic reads of a process.
 	// Default 2s.
 	MinReadEvery time.Duration
-	// FetchJitter is the longest random delay before a fetch from a peer, so
-	// that not all who hear of a revision ask at once. Default 30ms.
+	// FetchJitter is the maximum random delay before a fetch from a peer, so
+	// that the processes that learn of a revision don't all fetch it at the
+	// same time. Default 30ms.
 	FetchJitter time.Duration
-	// FetchTimeout is when an unanswered fetch is given up. Default 1s.
+	// FetchTimeout is the time after which an unanswered fetch is abandoned.
+	// Default 1s.
 	FetchTimeout time.Duration
-	// StaleAfter is the age of the last confirmation from which the process
-	// says that it does not know how fresh it is. Default 10s.
+	// StaleAfter is the time since the revision was last confirmed as the
+	// newest after which the process reports it as stale. Default 10s.
 	StaleAfter time.Duration
-	// StartJitter is the longest random delay before the first read of the
-	// platform, in which a peer may answer instead. Default 200ms.
+	// StartJitter is the maximum random delay before the first read of the
+	// platform; an answer from a peer meanwhile can make the read unnecessary.
+	// Default 200ms.
 	StartJitter time.Duration
-	// StartPeers is how many peers a starting process hears before it serves
-	// without the platform. Default 2.
+	// StartPeers is the number of peers from which a starting process must
+	// have received a revision before it serves without the platform. Default
+	// 2.
 	StartPeers int
-	// StartWait is when fewer peers are enough, counted from the first failure
-	// of the platform. Default 2s.
+	// StartWait is the time after the first platform failure from which fewer
+	// peers suffice. Default 2s.
 	StartWait time.Duration
-	// BackoffMin and BackoffMax bound the pause after a failed platform call.
+	// BackoffMin and BackoffMax limit the delay after a failed platform call.
 	// Defaults 200ms and 2s.
 	BackoffMin, BackoffMax time.Duration
 	// Seed of the random delays.
--- a/coordination/spread/event.go
+++ b/coordination/spread/event.go
@@ -5,44 +5,46 @@
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Heard is a peer's word on the revision it holds and on how long ago that
-// revision was known to be the newest.
+// Heard is a peer's report of its current revision. Age is the time since that
+// revision was last confirmed as the newest.
 type Heard struct {
 	Peer     string
 	Revision uint64
 	Age      time.Duration
 }
 
-// Fetched is a peer's answer to a Fetch. Revision is what is held after it.
+// Fetched is a peer's answer to a Fetch. Revision is this process's revision
+// after it was applied.
 type Fetched struct {
 	Peer     string
 	Revision uint64
 	Age      time.Duration
 }
 
-// FetchFailed is a Fetch without an answer.
+// FetchFailed reports that a Fetch got no answer.
 type FetchFailed struct{ Peer string }
 
-// PlatformAnswered is the platform's answer to Watch or Read. Revision is what
-// is held after it.
+// PlatformAnswered is the platform's answer to Watch or Read. Revision is this
+// process's revision after it was applied.
 type PlatformAnswered struct{ Revision uint64 }
 
-// PlatformFailed is a Watch or Read without a useful answer.
+// PlatformFailed reports that a Watch or Read failed or got an unusable answer.
 type PlatformFailed struct{}
 
-// Accepted is a revision that this process itself has written.
+// Accepted reports a revision that this process has written itself.
 type Accepted struct{ Revision uint64 }
 
 // Member is one router of the instance list.
 type Member struct{ ID, DataCentre string }
 
-// Listed is a new instance list: the routers, and the number of all processes.
+// Listed reports a new instance list: the routers, and the number of all
+// processes.
 type Listed struct {
 	Routers   []Member
 	Processes int
 }
 
-// Ticked lets time pass.
+// Ticked reports that time has passed.
 type Ticked struct{}
 
 func (Heard) isEvent()            {}
@@ -57,21 +59,21 @@
 // Action is an output of State.Step that the driver performs.
 type Action interface{ isAction() }
 
-// Fetch asks a peer for what this process is behind with.
+// Fetch requests from a peer the revisions that this process is missing.
 type Fetch struct{ Peer string }
 
-// Watch waits at the platform for a change after the held revision. It is
-// answered by PlatformAnswered, also when nothing changed in time.
+// Watch waits for the platform to report a change after the current revision. It
+// ends with PlatformAnswered, also if the wait expires without a change.
 type Watch struct{}
 
 // Read reads the platform once.
 type Read struct{}
 
-// Announce tells all peers the revision held, at once.
+// Announce sends the current revision to all peers immediately.
 type Announce struct{ Revision uint64 }
 
-// Freshness tells that the process came to know, or no longer knows, that it
-// holds the newest revision.
+// Freshness reports a change of staleness: whether the current revision was
+// confirmed as the newest within StaleAfter.
 type Freshness struct{ Stale bool }
 
 func (Fetch) isAction()     {}
--- a/coordination/spread/spread.go
+++ b/coordination/spread/spread.go
@@ -8,37 +8,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is the spread as one process sees it. It must be used by one goroutine
-// at a time.
+// State is the distribution state of one process. It must be used by one
+// goroutine at a time.
 //
-// Invariant: the held revision never falls (brief: an accepted configuration
-// never reverts).
+// Invariant: the current revision never decreases, because an accepted
+// configuration never reverts.
 type State struct {
-	cfg       Config
-	rng       *rand.Rand
-	held      uint64
-	confirmed time.Time
-	stale     bool
-	started   bool
-	ready     bool
+	cfg         Config
+	rng         *rand.Rand
+	current     uint64
+	confirmedAt time.Time
+	stale       bool
+	started     bool
+	ready       bool
 	// failedAt is the first platform failure before the process was ready.
 	failedAt time.Time
 
-	// peers that announced a revision, newest word of each.
+	// peers holds the latest revision that each peer reported.
 	peers map[string]uint64
-	// asked is the peer of the fetch on the way, empty for none.
-	asked     string
-	askedAt   time.Time
-	fetchAt   time.Time
-	atStore   bool
-	watcher   bool
-	processes int
-	nextRead  time.Time
-	backoff   time.Duration
-	out       []Action
+	// fetchPeer is the peer of the fetch in flight, empty for none.
+	fetchPeer            string
+	fetchStartedAt       time.Time
+	fetchAt              time.Time
+	platformCallInFlight bool
+	watcher              bool
+	processes            int
+	nextRead             time.Time
+	backoff              time.Duration
+	actions              []Action
 }
 
-// New returns a state that holds nothing. The config must be valid.
+// New returns a state without a revision. The config must be valid.
 func New(cfg Config) *State {
 	return &State{
 		cfg:   cfg,
@@ -51,10 +51,10 @@
 // Step applies one event at the time now and returns the actions to perform,
 // in order. The slice is valid until the next call.
 func (s *State) Step(now time.Time, ev Event) []Action {
-	s.out = s.out[:0]
+	s.actions = s.actions[:0]
 	switch ev := ev.(type) {
 	case Heard:
-		s.heard(now, ev)
+		s.peerReported(now, ev)
 	case Fetched:
 		s.fetched(now, ev)
 	case FetchFailed:
@@ -64,104 +64,106 @@
 	case PlatformFailed:
 		s.platformFailed(now)
 	case Accepted:
-		s.hold(ev.Revision)
+		s.adopt(ev.Revision)
 		s.confirm(now)
 	case Listed:
 		s.listed(ev)
 	}
 	s.fetch(now)
-	s.platform(now)
-	s.freshness(now)
-	s.makeReady(now)
-	return s.out
+	s.callPlatform(now)
+	s.updateFreshness(now)
+	s.updateReady(now)
+	return s.actions
 }
 
-// Ready reports whether the process may serve: what it holds was confirmed
-// lately, or the platform is down and it holds the newest revision that the
-// peers it heard have.
+// Ready reports whether the process may serve: its revision was confirmed as the
+// newest within StaleAfter, or the platform is down and no peer has reported a
+// newer one. Once true, it stays true.
 func (s *State) Ready() bool { return s.ready }
 
-// Held returns the revision held.
-func (s *State) Held() uint64 { return s.held }
+// Held returns the current revision of this process.
+func (s *State) Held() uint64 { return s.current }
 
-// Age returns how long ago the held revision was known to be the newest.
-func (s *State) Age(now time.Time) time.Duration { return now.Sub(s.confirmed) }
+// Age returns the time since the current revision was last confirmed as the
+// newest.
+func (s *State) Age(now time.Time) time.Duration { return now.Sub(s.confirmedAt) }
 
-// Stale reports whether that is longer ago than StaleAfter.
+// Stale reports whether Age exceeded StaleAfter at the last step.
 func (s *State) Stale() bool { return s.stale }
 
-// Watcher reports whether this process waits at the platform for changes.
+// Watcher reports whether this process watches the platform for changes.
 func (s *State) Watcher() bool { return s.watcher }
 
-func (s *State) emit(a Action) { s.out = append(s.out, a) }
+func (s *State) emit(a Action) { s.actions = append(s.actions, a) }
 
-// hold takes a revision up if it is newer.
-func (s *State) hold(revision uint64) {
-	if revision <= s.held {
+// adopt sets the current revision if the given one is newer.
+func (s *State) adopt(revision uint64) {
+	if revision <= s.current {
 		return
 	}
-	s.held = revision
+	s.current = revision
 	s.emit(Announce{Revision: revision})
 }
 
-// confirm records that the held revision was the newest at the time t.
+// confirm records that the current revision was the newest at the time t.
 func (s *State) confirm(t time.Time) {
-	if t.After(s.confirmed) {
-		s.confirmed = t
+	if t.After(s.confirmedAt) {
+		s.confirmedAt = t
 	}
 }
 
-func (s *State) heard(now time.Time, ev Heard) {
+func (s *State) peerReported(now time.Time, ev Heard) {
 	s.peers[ev.Peer] = ev.Revision
-	if ev.Revision == s.held {
+	if ev.Revision == s.current {
 		s.confirm(now.Add(-ev.Age))
 	}
-	if ev.Revision > s.held && s.fetchAt.IsZero() {
+	if ev.Revision > s.current && s.fetchAt.IsZero() {
 		s.fetchAt = now.Add(s.jitter(s.cfg.FetchJitter))
 	}
 }
 
 func (s *State) fetched(now time.Time, ev Fetched) {
-	if s.asked == ev.Peer {
-		s.asked = ""
+	if s.fetchPeer == ev.Peer {
+		s.fetchPeer = ""
 	}
-	s.hold(ev.Revision)
-	if ev.Revision == s.held {
+	s.adopt(ev.Revision)
+	if ev.Revision == s.current {
 		s.confirm(now.Add(-ev.Age))
 	}
 }
 
 func (s *State) fetchFailed(peer string) {
-	if s.asked == peer {
-		s.asked = ""
+	if s.fetchPeer == peer {
+		s.fetchPeer = ""
 	}
-	// It may announce again; until then another peer is asked.
+	// Other peers are tried until this one announces a revision again.
 	delete(s.peers, peer)
 }
 
-// fetch asks one of the peers that are ahead, one at a time.
+// fetch requests the newer revision from one of the peers that are ahead, with
+// one fetch in flight at a time.
 func (s *State) fetch(now time.Time) {
-	if s.asked != "" && now.Sub(s.askedAt) > s.cfg.FetchTimeout {
-		s.fetchFailed(s.asked)
+	if s.fetchPeer != "" && now.Sub(s.fetchStartedAt) > s.cfg.FetchTimeout {
+		s.fetchFailed(s.fetchPeer)
 	}
 	ahead := s.ahead()
 	if len(ahead) == 0 {
 		s.fetchAt = time.Time{}
 		return
 	}
-	if s.asked != "" || now.Before(s.fetchAt) {
+	if s.fetchPeer != "" || now.Before(s.fetchAt) {
 		return
 	}
-	s.asked = ahead[s.rng.IntN(len(ahead))]
-	s.askedAt = now
-	s.emit(Fetch{Peer: s.asked})
+	s.fetchPeer = ahead[s.rng.IntN(len(ahead))]
+	s.fetchStartedAt = now
+	s.emit(Fetch{Peer: s.fetchPeer})
 }
 
-// ahead returns the peers that announced more than is held, sorted.
+// ahead returns the peers that reported a newer revision, sorted.
 func (s *State) ahead() []string {
 	var out []string
 	for p, r := range s.peers {
-		if r > s.held {
+		if r > s.current {
 			out = append(out, p)
 		}
 	}
@@ -170,36 +172,37 @@
 }
 
 func (s *State) platformAnswered(now time.Time, revision uint64) {
-	s.atStore = false
+	s.platformCallInFlight = false
 	s.backoff = 0
-	s.hold(revision)
+	s.adopt(revision)
 	s.confirm(now)
 	s.nextRead = now
 	if !s.watcher {
-		s.nextRead = now.Add(s.readEvery())
+		s.nextRead = now.Add(s.readInterval())
 	}
 }
 
 func (s *State) platformFailed(now time.Time) {
-	s.atStore = false
+	s.platformCallInFlight = false
 	if s.failedAt.IsZero() {
 		s.failedAt = now
 	}
 	s.backoff = min(max(2*s.backoff, s.cfg.BackoffMin), s.cfg.BackoffMax)
-	pause := s.backoff
+	delay := s.backoff
 	if !s.watcher {
-		// The many who only read must not return as one when the platform does.
-		pause = max(pause, s.readEvery()/2)
+		// Spreads the reads of the processes that are not watchers, so that
+		// they don't all arrive at once when the platform recovers.
+		delay = max(delay, s.readInterval()/2)
 	}
-	s.nextRead = now.Add(pause/2 + s.jitter(pause))
+	s.nextRead = now.Add(delay/2 + s.jitter(delay))
 }
 
-// readEvery is the time between slow reads, so that all processes together
-// stay within the read budget.
-func (s *State) readEvery() time.Duration {
-	fair := time.Duration(float64(s.processes) / s.cfg.ReadBudget * float64(time.Second))
-	every := max(fair, s.cfg.MinReadEvery)
-	return every*3/4 + s.jitter(every/2)
+// readInterval returns a random interval until the next periodic read; its mean
+// keeps the reads of all processes together within the read budget.
+func (s *State) readInterval() time.Duration {
+	budgeted := time.Duration(float64(s.processes) / s.cfg.ReadBudget * float64(time.Second))
+	interval := max(budgeted, s.cfg.MinReadEvery)
+	return interval*3/4 + s.jitter(interval/2)
 }
 
 func (s *State) jitter(limit time.Duration) time.Duration {
@@ -209,21 +212,22 @@
 	return time.Duration(s.rng.Int64N(int64(limit)))
 }
 
-// platform waits at the platform if this process is a watcher, else reads it
-// from time to time as a safety net. One call is on the way at most.
-func (s *State) platform(now time.Time) {
+// callPlatform watches the platform if this process is a watcher. Otherwise it
+// reads the platform periodically, as a fallback for messages from peers. At most
+// one call is in flight.
+func (s *State) callPlatform(now time.Time) {
 	if s.nextRead.IsZero() {
 		s.nextRead = now.Add(s.jitter(s.cfg.StartJitter))
 	}
-	if s.atStore || now.Before(s.nextRead) {
+	if s.platformCallInFlight || now.Before(s.nextRead) {
 		return
 	}
-	if !s.watcher && s.held > 0 && s.Age(now) < s.cfg.StaleAfter/2 {
-		// A peer that heard from the platform lately is as good as a read.
-		s.nextRead = now.Add(s.readEvery())
+	if !s.watcher && s.current > 0 && s.Age(now) < s.cfg.StaleAfter/2 {
+		// A recent confirmation by a peer replaces the read.
+		s.nextRead = now.Add(s.readInterval())
 		return
 	}
-	s.atStore = true
+	s.platformCallInFlight = true
 	if s.watcher && s.started {
 		s.emit(Watch{})
 		return
@@ -232,29 +236,29 @@
 	s.emit(Read{})
 }
 
-// listed chooses the watchers of the data centre by rendezvous hashing, so
-// that every process comes to the same choice without asking anyone.
+// listed chooses the watchers of the data centre by rendezvous hashing, so that
+// every process makes the same choice without coordination.
 func (s *State) listed(ev Listed) {
 	s.processes = ev.Processes
 	if !s.cfg.Watches {
 		return
 	}
-	above := 0
-	mine := score(s.cfg.Self)
+	higherScores := 0
+	mine := watcherScore(s.cfg.Self)
 	for _, m := range ev.Routers {
-		if m.DataCentre == s.cfg.DataCentre && m.ID != s.cfg.Self && score(m.ID) > mine {
-			above++
+		if m.DataCentre == s.cfg.DataCentre && m.ID != s.cfg.Self && watcherScore(m.ID) > mine {
+			higherScores++
 		}
 	}
-	s.watcher = above < s.cfg.Watchers
+	s.watcher = higherScores < s.cfg.Watchers
 }
 
-func score(id string) uint64 { return xxhash.Sum64String("watcher/" + id) }
+func watcherScore(id string) uint64 { return xxhash.Sum64String("watcher/" + id) }
 
-// makeReady decides once; a process that serves does not stop to do so when
-// the platform goes away later.
-func (s *State) makeReady(now time.Time) {
-	if s.ready || s.held == 0 || len(s.ahead()) > 0 {
+// updateReady sets ready once and never clears it: a process that serves keeps
+// serving when the platform fails later.
+func (s *State) updateReady(now time.Time) {
+	if s.ready || s.current == 0 || len(s.ahead()) > 0 {
 		return
 	}
 	if !s.stale {
@@ -268,8 +272,8 @@
 	s.ready = enough || now.Sub(s.failedAt) > s.cfg.StartWait
 }
 
-func (s *State) freshness(now time.Time) {
-	stale := s.confirmed.IsZero() || now.Sub(s.confirmed) > s.cfg.StaleAfter
+func (s *State) updateFreshness(now time.Time) {
+	stale := s.confirmedAt.IsZero() || now.Sub(s.confirmedAt) > s.cfg.StaleAfter
 	if stale == s.stale {
 		return
 	}
--- a/coordination/spread/spread_test.go
+++ b/coordination/spread/spread_test.go
@@ -17,8 +17,8 @@
 	return New(cfg)
 }
 
-// has returns the first action of the type, if any.
-func has[A Action](actions []Action) (A, bool) {
+// firstAction returns the first action of the type, if any.
+func firstAction[A Action](actions []Action) (A, bool) {
 	for _, a := range actions {
 		if a, ok := a.(A); ok {
 			return a, true
@@ -38,27 +38,27 @@
 	s := newState(false)
 	s.Step(start, PlatformAnswered{Revision: 3})
 	s.Step(start, Heard{Peer: "p", Revision: 4})
-	f, ok := has[Fetch](s.Step(start.Add(time.Second), Ticked{}))
+	f, ok := firstAction[Fetch](s.Step(start.Add(time.Second), Ticked{}))
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(f.Peer, qt.Equals, "p")
-	a, ok := has[Announce](s.Step(start.Add(time.Second), Fetched{Peer: "p", Revision: 4}))
+	a, ok := firstAction[Announce](s.Step(start.Add(time.Second), Fetched{Peer: "p", Revision: 4}))
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(a.Revision, qt.Equals, uint64(4))
 }
 
-func TestAsksAnotherPeerAfterTimeout(t *testing.T) {
+func TestFetchesFromAnotherPeerAfterTimeout(t *testing.T) {
 	c := qt.New(t)
 	s := newState(false)
 	s.Step(start, PlatformAnswered{Revision: 1})
 	s.Step(start, Heard{Peer: "a", Revision: 2})
 	s.Step(start, Heard{Peer: "b", Revision: 2})
-	first, _ := has[Fetch](s.Step(start.Add(time.Second), Ticked{}))
-	second, ok := has[Fetch](s.Step(start.Add(3*time.Second), Ticked{}))
+	first, _ := firstAction[Fetch](s.Step(start.Add(time.Second), Ticked{}))
+	second, ok := firstAction[Fetch](s.Step(start.Add(3*time.Second), Ticked{}))
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(second.Peer, qt.Not(qt.Equals), first.Peer)
 }
 
-func TestWatchersAreFewAndAgreed(t *testing.T) {
+func TestWatcherCountPerDataCentre(t *testing.T) {
 	c := qt.New(t)
 	var members []Member
 	for i := range 50 {
@@ -93,19 +93,19 @@
 	c.Assert(s.Stale(), qt.IsFalse)
 }
 
-func TestSaysWhenItIsStale(t *testing.T) {
+func TestReportsStaleness(t *testing.T) {
 	c := qt.New(t)
 	s := newState(true)
 	s.Step(start, PlatformAnswered{Revision: 1})
 	later := start.Add(DefaultConfig().StaleAfter + time.Second)
-	f, ok := has[Freshness](s.Step(later, PlatformFailed{}))
+	f, ok := firstAction[Freshness](s.Step(later, PlatformFailed{}))
 	c.Assert(ok && f.Stale, qt.IsTrue)
-	f, ok = has[Freshness](s.Step(later, Heard{Peer: "p", Revision: 1, Age: time.Second}))
+	f, ok = firstAction[Freshness](s.Step(later, Heard{Peer: "p", Revision: 1, Age: time.Second}))
 	c.Assert(ok && !f.Stale, qt.IsTrue)
 }
 
-// The reads of a fleet at rest stay within the budget, and an outage does not
-// end in a storm.
+// The reads of an idle fleet stay within the budget, and the end of an outage
+// doesn't cause a burst of reads.
 func TestReadBudget(t *testing.T) {
 	c := qt.New(t)
 	const processes, seconds, outage = 500, 120, 40
@@ -118,11 +118,12 @@
 		s.Step(start, Listed{Processes: processes})
 		for ms := 0; ms < seconds*1000; ms += 50 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
-			if _, ok := has[Read](s.Step(now, Ticked{})); !ok {
+			if _, ok := firstAction[Read](s.Step(now, Ticked{})); !ok {
 				continue
 			}
 			reads[ms/1000]++
-			// Nothing is held, so that no peer's word can replace a read.
+			// The process has no revision, so no peer's report can replace a
+			// read.
 			var answer Event = PlatformAnswered{}
 			if ms < outage*1000 {
 				answer = PlatformFailed{}
@@ -137,8 +138,8 @@
 	c.Assert(worst < 3*50, qt.IsTrue, qt.Commentf("%d reads in one second", worst))
 }
 
-// Invariant: the held revision never falls, whatever order messages come in.
-func TestRevisionsOnlyRise(t *testing.T) {
+// The current revision never decreases, in whatever order messages arrive.
+func TestRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newState(rapid.Bool().Draw(t, "watches"))
 		now, held := start, uint64(0)
@@ -153,22 +154,22 @@
 			}).Draw(t, "event")
 			s.Step(now, ev)
 			if s.Held() < held {
-				t.Fatalf("revision fell from %d to %d after %#v", held, s.Held(), ev)
+				t.Fatalf("revision decreased from %d to %d after %#v", held, s.Held(), ev)
 			}
 			held = s.Held()
 		}
 	})
 }
 
-func TestAPeersFreshWordReplacesTheRead(t *testing.T) {
+func TestRecentConfirmationByPeerReplacesRead(t *testing.T) {
 	c := qt.New(t)
 	s := newState(false)
 	s.Step(start, PlatformAnswered{Revision: 1})
 	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(time.Second) {
 		s.Step(now, Heard{Peer: "p", Revision: 1, Age: 3 * time.Second})
-		_, read := has[Read](s.Step(now, Ticked{}))
+		_, read := firstAction[Read](s.Step(now, Ticked{}))
 		c.Assert(read, qt.IsFalse)
 	}
-	_, read := has[Read](s.Step(start.Add(2*time.Minute), Ticked{}))
-	c.Assert(read, qt.IsTrue, qt.Commentf("nobody has confirmed it for a minute"))
+	_, read := firstAction[Read](s.Step(start.Add(2*time.Minute), Ticked{}))
+	c.Assert(read, qt.IsTrue, qt.Commentf("the revision has not been confirmed for a minute"))
 }
