--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -35,7 +35,7 @@
 	s.actions = s.actions[:0]
 	s.steps++
 	switch ev := ev.(type) {
-	case Asked:
+	case CallReceived:
 		s.callReceived(now, ev.Call)
 	case ReadDone:
 		s.readDone(now, ev)
@@ -45,7 +45,7 @@
 		s.sealDone(now, ev)
 	case SegmentDone:
 		s.segmentDone(now, ev)
-	case HomesSet:
+	case HomesChanged:
 		s.homesChanged(ev)
 	case Flushed:
 		s.flush(now)
@@ -85,7 +85,7 @@
 	s.advance(now, sh)
 }
 
-func (s *State) homesChanged(ev HomesSet) {
+func (s *State) homesChanged(ev HomesChanged) {
 	for i, sh := range s.shards {
 		sh.home = ev.Home[i]
 	}
--- a/coordination/claim/claim_test.go
+++ b/coordination/claim/claim_test.go
@@ -79,7 +79,7 @@
 	}
 	// The second writer is not the shard's home, as after a change of the
 	// instance list.
-	home := HomesSet{Routers: 2}
+	home := HomesChanged{Routers: 2}
 	for i := range home.Home {
 		home.Home[i] = true
 	}
@@ -144,12 +144,12 @@
 		Deadline: m.now.Add(time.Duration(rapid.IntRange(10, 1500).Draw(t, "wait")) * time.Millisecond),
 	}
 	m.unanswered[c.ID] = c
-	m.step(t, 0, Asked{Call: c})
+	m.step(t, 0, CallReceived{Call: c})
 	if rapid.Bool().Draw(t, "at both") {
 		m.lastID++
 		c.ID = m.lastID
 		m.unanswered[c.ID] = c
-		m.step(t, 1, Asked{Call: c})
+		m.step(t, 1, CallReceived{Call: c})
 	}
 }
 
@@ -166,7 +166,7 @@
 	c.Result = claims.Result{Outcome: "completed", Status: 200}
 	c.Deadline = m.now.Add(time.Duration(rapid.IntRange(10, 3000).Draw(t, "wait")) * time.Millisecond)
 	m.unanswered[c.ID] = c
-	m.step(t, rapid.IntRange(0, 1).Draw(t, "writer"), Asked{Call: c})
+	m.step(t, rapid.IntRange(0, 1).Draw(t, "writer"), CallReceived{Call: c})
 }
 
 // completeCall completes one platform call, with or without a fault.
@@ -270,13 +270,13 @@
 	m := newMachine()
 	w := m.writers[0]
 	key := m.keys[0]
-	actions := w.Step(m.now, Asked{Call{ID: 1, Kind: Acquire, Key: key, Attempt: "a", Deadline: m.now.Add(time.Second)}})
+	actions := w.Step(m.now, CallReceived{Call{ID: 1, Kind: Acquire, Key: key, Attempt: "a", Deadline: m.now.Add(time.Second)}})
 	c.Assert(actions, quicktest.DeepEquals, []Action{Read{Shard: 0}})
 	actions = w.Step(m.now, ReadDone{Result: OK, Table: &claims.Table{}})
 	c.Assert(actions, quicktest.HasLen, 1)
 	for id := uint64(2); id < 12; id++ {
 		k := claims.Key(string(m.keys[1])) // the same key: one call is granted, the others get Held
-		c.Assert(w.Step(m.now, Asked{Call{ID: id, Kind: Acquire, Key: k, Attempt: string(rune('a' + id)), Deadline: m.now.Add(time.Second)}}), quicktest.HasLen, 0)
+		c.Assert(w.Step(m.now, CallReceived{Call{ID: id, Kind: Acquire, Key: k, Attempt: string(rune('a' + id)), Deadline: m.now.Add(time.Second)}}), quicktest.HasLen, 0)
 	}
 	c.Assert(w.Step(m.now, WriteDone{Result: OK, Version: 1}), quicktest.HasLen, 1, quicktest.Commentf("the first call's answer; the next write waits until Gap has passed"))
 	c.Assert(w.Step(m.now.Add(99*time.Millisecond), Ticked{}), quicktest.HasLen, 0)
@@ -298,14 +298,14 @@
 	m.writers[0].cfg.MaxBytes = 200
 	deadline := m.now.Add(time.Minute)
 	w := m.writers[0]
-	w.Step(m.now, Asked{Call{ID: 1, Kind: Acquire, Key: m.keys[0], Attempt: "a", Deadline: deadline}})
+	w.Step(m.now, CallReceived{Call{ID: 1, Kind: Acquire, Key: m.keys[0], Attempt: "a", Deadline: deadline}})
 	w.Step(m.now, ReadDone{Result: OK, Table: &claims.Table{}})
 	w.Step(m.now, WriteDone{Result: OK, Version: 1})
 	m.now = m.now.Add(time.Second)
-	actions := w.Step(m.now, Asked{Call{ID: 2, Kind: Acquire, Key: m.keys[1], Attempt: "a long name that has no room, as it is more than one hundred bytes of a value of two hundred bytes in all", Deadline: deadline}})
+	actions := w.Step(m.now, CallReceived{Call{ID: 2, Kind: Acquire, Key: m.keys[1], Attempt: "a long name that has no room, as it is more than one hundred bytes of a value of two hundred bytes in all", Deadline: deadline}})
 	c.Assert(actions, quicktest.DeepEquals, []Action{Answer{Call: 2, Verdict: Full}})
 	m.now = m.now.Add(time.Second)
-	actions = w.Step(m.now, Asked{Call{ID: 3, Kind: Release, Key: m.keys[0], Attempt: "a", Deadline: deadline}})
+	actions = w.Step(m.now, CallReceived{Call{ID: 3, Kind: Release, Key: m.keys[0], Attempt: "a", Deadline: deadline}})
 	c.Assert(actions, quicktest.HasLen, 1)
 	c.Assert(actions[0].(Write).Version, quicktest.Equals, uint64(1))
 }
--- a/coordination/claim/event.go
+++ b/coordination/claim/event.go
@@ -64,7 +64,7 @@
 type Event interface{ isEvent() }
 
 // Asked is a new call.
-type Asked struct{ Call Call }
+type CallReceived struct{ Call Call }
 
 // CallResult is the result of a platform call.
 type CallResult uint8
@@ -116,7 +116,7 @@
 
 // HomesSet reports the shards whose home is this router, and the number of
 // running routers.
-type HomesSet struct {
+type HomesChanged struct {
 	Home    [claims.Shards]bool
 	Routers int
 }
@@ -128,14 +128,14 @@
 // Ticked reports that time has passed.
 type Ticked struct{}
 
-func (Asked) isEvent()       {}
-func (ReadDone) isEvent()    {}
-func (WriteDone) isEvent()   {}
-func (SealDone) isEvent()    {}
-func (SegmentDone) isEvent() {}
-func (HomesSet) isEvent()    {}
-func (Flushed) isEvent()     {}
-func (Ticked) isEvent()      {}
+func (CallReceived) isEvent() {}
+func (ReadDone) isEvent()     {}
+func (WriteDone) isEvent()    {}
+func (SealDone) isEvent()     {}
+func (SegmentDone) isEvent()  {}
+func (HomesChanged) isEvent() {}
+func (Flushed) isEvent()      {}
+func (Ticked) isEvent()       {}
 
 // Action is an output of State.Step that the driver performs.
 type Action interface{ isAction() }
--- a/coordination/confirm/confirm.go
+++ b/coordination/confirm/confirm.go
@@ -47,10 +47,10 @@
 	Unavailable
 	// Unsettled means that a write of the head may or may not have taken
 	// effect.
-	Unsettled
+	OutcomeUnknown
 	// Forgotten means that the history entry needed to decide the outcome has
 	// been overwritten.
-	Forgotten
+	HistoryOverwritten
 	// TooLarge means that the document exceeds the platform's size limit.
 	TooLarge
 )
--- a/coordination/confirm/interleave_test.go
+++ b/coordination/confirm/interleave_test.go
@@ -137,7 +137,7 @@
 		t.Fatalf("%q was reported as not written after an unanswered write; the accepted revisions are %v", o.proposal.Digest, w.accepted)
 	case done.Kind == confirm.Accepted && done.Document.Revision != o.proposal.Base+1:
 		t.Fatalf("%q was reported as revision %d", o.proposal.Digest, done.Document.Revision)
-	case done.Kind == confirm.Forgotten && len(w.accepted) < base+ringSlots:
+	case done.Kind == confirm.HistoryOverwritten && len(w.accepted) < base+ringSlots:
 		t.Fatalf("%q was reported as forgotten, but the accepted revisions are %v", o.proposal.Digest, w.accepted)
 	}
 }
--- a/coordination/confirm/state.go
+++ b/coordination/confirm/state.go
@@ -71,7 +71,7 @@
 
 func (s *State) giveUp() Action {
 	if s.inDoubt {
-		return s.done(Unsettled, nil, false)
+		return s.done(OutcomeUnknown, nil, false)
 	}
 	return s.done(Unavailable, nil, false)
 }
@@ -136,9 +136,9 @@
 	case ev.Entry == nil || ev.Entry.Revision < s.entryRevision:
 		// A revision is overwritten only after its entry is written, so the
 		// entry exists unless another program changed the keys.
-		return s.done(Forgotten, nil, false)
+		return s.done(HistoryOverwritten, nil, false)
 	case ev.Entry.Revision > s.entryRevision:
-		return s.done(Forgotten, nil, false)
+		return s.done(HistoryOverwritten, nil, false)
 	default:
 		return s.compare(ev.Entry)
 	}
--- a/coordination/orders/event.go
+++ b/coordination/orders/event.go
@@ -63,7 +63,7 @@
 type Event interface{ isEvent() }
 
 // Wanted reports a configuration that has come into force.
-type Wanted struct{ Want Want }
+type WantChanged struct{ Want Want }
 
 // Observed is the state reported by the engine in answer to the Observe with the
 // same ID.
@@ -107,7 +107,7 @@
 // Ticked reports that time has passed.
 type Ticked struct{}
 
-func (Wanted) isEvent()        {}
+func (WantChanged) isEvent()   {}
 func (Observed) isEvent()      {}
 func (ObserveFailed) isEvent() {}
 func (Granted) isEvent()       {}
--- a/coordination/orders/orders.go
+++ b/coordination/orders/orders.go
@@ -52,7 +52,7 @@
 func (s *State) Step(now time.Time, ev Event) []Action {
 	s.actions = s.actions[:0]
 	switch ev := ev.(type) {
-	case Wanted:
+	case WantChanged:
 		s.setWant(now, ev.Want)
 	case Observed:
 		s.observed(now, ev)
@@ -83,14 +83,14 @@
 type Progress struct {
 	Revision uint64
 	// Left is the number of orders that remain to be sent.
-	Left int
+	Remaining int
 	// Waiting is the permit that has been requested but not granted.
-	Waiting Permit
+	WaitingFor Permit
 	// Sent is the order in flight, nil for none.
 	Sent *Order
 	// Unsure is true if the order in flight got no answer and may or may not
 	// take effect.
-	Unsure bool
+	Unanswered bool
 	// Behind is true if the engine has seen a newer fencing token.
 	Behind bool
 }
@@ -98,8 +98,8 @@
 // Progress returns the state of the reconciliation, for status reports.
 func (s *State) Progress() Progress {
 	return Progress{
-		Revision: s.want.Revision, Left: len(s.pendingOrders()), Waiting: s.requestedPermit,
-		Sent: s.sent, Unsure: s.unanswered, Behind: s.behind(),
+		Revision: s.want.Revision, Remaining: len(s.pendingOrders()), WaitingFor: s.requestedPermit,
+		Sent: s.sent, Unanswered: s.unanswered, Behind: s.behind(),
 	}
 }
 
--- a/coordination/orders/orders_test.go
+++ b/coordination/orders/orders_test.go
@@ -126,7 +126,7 @@
 	w := newSimulation(noFaults)
 	w.have = Have{Items: []Item{item("m", "1")}, Role: "mixed"}
 	w.newest = 5
-	w.step(Wanted{Want{Revision: 5, Items: []Item{item("m", "2"), {Adapter: true, Name: "a", Version: "1"}}, Role: "decode"}})
+	w.step(WantChanged{Want{Revision: 5, Items: []Item{item("m", "2"), {Adapter: true, Name: "a", Version: "1"}}, Role: "decode"}})
 	for range 20 {
 		w.advanceTime(time.Second)
 	}
@@ -139,13 +139,13 @@
 	c.Assert(verbs, qt.DeepEquals, []Verb{Load, Load, SetRole, Unload})
 	c.Assert(w.paused, qt.IsFalse)
 	c.Assert(w.granted[PermitLoad]+w.granted[PermitWave], qt.Equals, 0)
-	c.Assert(w.s.Progress().Left, qt.Equals, 0)
+	c.Assert(w.s.Progress().Remaining, qt.Equals, 0)
 }
 
 func TestSendsNoOrdersToUnmanagedEngine(t *testing.T) {
 	w := newSimulation(noFaults)
 	w.have = Have{Items: []Item{item("m", "1")}}
-	w.step(Wanted{Want{Revision: 1}})
+	w.step(WantChanged{Want{Revision: 1}})
 	w.advanceTime(time.Hour)
 	qt.Assert(t, w.orders, qt.HasLen, 0)
 }
@@ -156,7 +156,7 @@
 	c := qt.New(t)
 	s := New(DefaultConfig())
 	want := Want{Revision: 1, Items: []Item{item("m", "1")}}
-	s.Step(start, Wanted{want})
+	s.Step(start, WantChanged{want})
 	s.Step(start, Observed{ID: s.observeID})
 	s.Step(start, Granted{PermitLoad})
 	now := start.Add(s.cfg.ObserveEvery)
@@ -172,7 +172,7 @@
 func TestSendsNoOrderWhenEngineSawNewerFence(t *testing.T) {
 	w := newSimulation(noFaults)
 	w.have, w.newest = Have{Fence: 9}, 8
-	w.step(Wanted{Want{Revision: 8, Items: []Item{item("m", "1")}}})
+	w.step(WantChanged{Want{Revision: 8, Items: []Item{item("m", "1")}}})
 	w.advanceTime(time.Hour)
 	qt.Assert(t, w.orders, qt.HasLen, 0)
 	qt.Assert(t, w.s.Progress().Behind, qt.IsTrue)
@@ -181,7 +181,7 @@
 func TestUnansweredOrderBlocksOthersUntilWaitOut(t *testing.T) {
 	c := qt.New(t)
 	s := New(DefaultConfig())
-	s.Step(start, Wanted{Want{Revision: 1, Items: []Item{item("m", "1")}}})
+	s.Step(start, WantChanged{Want{Revision: 1, Items: []Item{item("m", "1")}}})
 	s.Step(start, Observed{ID: s.observeID})
 	s.Step(start, Granted{PermitLoad})
 	got := s.Step(start, Validated{OK: true, Revision: 1})
@@ -223,7 +223,7 @@
 			if rapid.Bool().Draw(t, "configuration delayed") {
 				w.advanceTime(time.Second)
 			}
-			w.step(Wanted{want})
+			w.step(WantChanged{want})
 			for range rapid.IntRange(0, 12).Draw(t, "steps") {
 				w.running = rapid.IntRange(0, 1).Draw(t, "running")
 				w.step(Running{w.running})
--- a/coordination/plan/notes.go
+++ b/coordination/plan/notes.go
@@ -83,7 +83,7 @@
 // backendNotes warns about missing facts, unknown names and services without a
 // backend server that takes requests.
 func (c *comparison) backendNotes() {
-	if n := c.facts.SilentRouters; n > 0 {
+	if n := c.facts.UnresponsiveRouters; n > 0 {
 		c.addWarning(NoteNoFacts, "", "%d %s gave no answer: requests that wait there were not counted", n, plural(n, "router", "routers"))
 	}
 	if !c.facts.BackendsKnown {
--- a/coordination/plan/plan.go
+++ b/coordination/plan/plan.go
@@ -165,7 +165,7 @@
 	// router, team and service.
 	Queues []Queue
 	// SilentRouters counts the routers that did not report their queues.
-	SilentRouters int
+	UnresponsiveRouters int
 	// BackendsKnown is false if the instance list could not be read.
 	BackendsKnown bool
 }
--- a/coordination/plan/plan_test.go
+++ b/coordination/plan/plan_test.go
@@ -33,8 +33,8 @@
 }
 
 var facts = plan.Facts{
-	BackendsKnown: true,
-	SilentRouters: 1,
+	BackendsKnown:       true,
+	UnresponsiveRouters: 1,
 	Backends: []plan.Backend{
 		{ID: "hall-1", Service: "counsel-llm"}, {ID: "hall-2", Service: "counsel-llm"}, {ID: "book-1", Service: "ledger-app"},
 	},
@@ -160,7 +160,7 @@
 	before.Evacuate = []string{"west"}
 	next.Evacuate = []string{"east", "nowhere"}
 	f := facts
-	f.SilentRouters = 0
+	f.UnresponsiveRouters = 0
 	f.Backends = []plan.Backend{
 		{ID: "hall-1", Service: "counsel-llm", DataCentre: "east"}, {ID: "hall-2", Service: "counsel-llm", DataCentre: "west"},
 		{ID: "book-1", Service: "ledger-app", DataCentre: "east"},
--- a/coordination/spread/event.go
+++ b/coordination/spread/event.go
@@ -7,7 +7,7 @@
 
 // Heard is a peer's report of its current revision. Age is the time since that
 // revision was last confirmed as the newest.
-type Heard struct {
+type PeerReported struct {
 	Peer     string
 	Revision uint64
 	Age      time.Duration
@@ -39,7 +39,7 @@
 
 // Listed reports a new instance list: the routers, and the number of all
 // processes.
-type Listed struct {
+type InstancesListed struct {
 	Routers   []Member
 	Processes int
 }
@@ -47,13 +47,13 @@
 // Ticked reports that time has passed.
 type Ticked struct{}
 
-func (Heard) isEvent()            {}
+func (PeerReported) isEvent()     {}
 func (Fetched) isEvent()          {}
 func (FetchFailed) isEvent()      {}
 func (PlatformAnswered) isEvent() {}
 func (PlatformFailed) isEvent()   {}
 func (Accepted) isEvent()         {}
-func (Listed) isEvent()           {}
+func (InstancesListed) isEvent()  {}
 func (Ticked) isEvent()           {}
 
 // Action is an output of State.Step that the driver performs.
--- a/coordination/spread/spread.go
+++ b/coordination/spread/spread.go
@@ -53,7 +53,7 @@
 func (s *State) Step(now time.Time, ev Event) []Action {
 	s.actions = s.actions[:0]
 	switch ev := ev.(type) {
-	case Heard:
+	case PeerReported:
 		s.peerReported(now, ev)
 	case Fetched:
 		s.fetched(now, ev)
@@ -66,7 +66,7 @@
 	case Accepted:
 		s.adopt(ev.Revision)
 		s.confirm(now)
-	case Listed:
+	case InstancesListed:
 		s.listed(ev)
 	}
 	s.fetch(now)
@@ -82,7 +82,7 @@
 func (s *State) Ready() bool { return s.ready }
 
 // Held returns the current revision of this process.
-func (s *State) Held() uint64 { return s.current }
+func (s *State) Revision() uint64 { return s.current }
 
 // Age returns the time since the current revision was last confirmed as the
 // newest.
@@ -112,7 +112,7 @@
 	}
 }
 
-func (s *State) peerReported(now time.Time, ev Heard) {
+func (s *State) peerReported(now time.Time, ev PeerReported) {
 	s.peers[ev.Peer] = ev.Revision
 	if ev.Revision == s.current {
 		s.confirm(now.Add(-ev.Age))
@@ -238,7 +238,7 @@
 
 // listed chooses the watchers of the data centre by rendezvous hashing, so that
 // every process makes the same choice without coordination.
-func (s *State) listed(ev Listed) {
+func (s *State) listed(ev InstancesListed) {
 	s.processes = ev.Processes
 	if !s.cfg.Watches {
 		return
--- a/coordination/spread/spread_test.go
+++ b/coordination/spread/spread_test.go
@@ -37,7 +37,7 @@
 	c := qt.New(t)
 	s := newState(false)
 	s.Step(start, PlatformAnswered{Revision: 3})
-	s.Step(start, Heard{Peer: "p", Revision: 4})
+	s.Step(start, PeerReported{Peer: "p", Revision: 4})
 	f, ok := firstAction[Fetch](s.Step(start.Add(time.Second), Ticked{}))
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(f.Peer, qt.Equals, "p")
@@ -50,8 +50,8 @@
 	c := qt.New(t)
 	s := newState(false)
 	s.Step(start, PlatformAnswered{Revision: 1})
-	s.Step(start, Heard{Peer: "a", Revision: 2})
-	s.Step(start, Heard{Peer: "b", Revision: 2})
+	s.Step(start, PeerReported{Peer: "a", Revision: 2})
+	s.Step(start, PeerReported{Peer: "b", Revision: 2})
 	first, _ := firstAction[Fetch](s.Step(start.Add(time.Second), Ticked{}))
 	second, ok := firstAction[Fetch](s.Step(start.Add(3*time.Second), Ticked{}))
 	c.Assert(ok, qt.IsTrue)
@@ -69,7 +69,7 @@
 		cfg := DefaultConfig()
 		cfg.Self, cfg.DataCentre, cfg.Watches = m.ID, "dc", true
 		s := New(cfg)
-		s.Step(start, Listed{Routers: members, Processes: 50})
+		s.Step(start, InstancesListed{Routers: members, Processes: 50})
 		if s.Watcher() {
 			watchers++
 		}
@@ -83,8 +83,8 @@
 	s.Step(start, Ticked{})
 	s.Step(start, PlatformFailed{})
 	c.Assert(s.Ready(), qt.IsFalse)
-	s.Step(start, Heard{Peer: "a", Revision: 7})
-	s.Step(start, Heard{Peer: "b", Revision: 8})
+	s.Step(start, PeerReported{Peer: "a", Revision: 7})
+	s.Step(start, PeerReported{Peer: "b", Revision: 8})
 	c.Assert(s.Ready(), qt.IsFalse)
 	s.Step(start, Fetched{Peer: "a", Revision: 7})
 	c.Assert(s.Ready(), qt.IsFalse, qt.Commentf("b has a newer revision"))
@@ -100,7 +100,7 @@
 	later := start.Add(DefaultConfig().StaleAfter + time.Second)
 	f, ok := firstAction[Freshness](s.Step(later, PlatformFailed{}))
 	c.Assert(ok && f.Stale, qt.IsTrue)
-	f, ok = firstAction[Freshness](s.Step(later, Heard{Peer: "p", Revision: 1, Age: time.Second}))
+	f, ok = firstAction[Freshness](s.Step(later, PeerReported{Peer: "p", Revision: 1, Age: time.Second}))
 	c.Assert(ok && !f.Stale, qt.IsTrue)
 }
 
@@ -115,7 +115,7 @@
 	for i := range processes {
 		cfg.Self = fmt.Sprint(i)
 		s := New(cfg)
-		s.Step(start, Listed{Processes: processes})
+		s.Step(start, InstancesListed{Processes: processes})
 		for ms := 0; ms < seconds*1000; ms += 50 {
 			now := start.Add(time.Duration(ms) * time.Millisecond)
 			if _, ok := firstAction[Read](s.Step(now, Ticked{})); !ok {
@@ -148,15 +148,15 @@
 			peer := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "peer")
 			rev := rapid.Uint64Range(0, 9).Draw(t, "revision")
 			ev := rapid.SampledFrom([]Event{
-				Heard{Peer: peer, Revision: rev}, Fetched{Peer: peer, Revision: rev},
+				PeerReported{Peer: peer, Revision: rev}, Fetched{Peer: peer, Revision: rev},
 				FetchFailed{Peer: peer}, PlatformAnswered{Revision: rev},
 				PlatformFailed{}, Accepted{Revision: rev}, Ticked{},
 			}).Draw(t, "event")
 			s.Step(now, ev)
-			if s.Held() < held {
-				t.Fatalf("revision decreased from %d to %d after %#v", held, s.Held(), ev)
+			if s.Revision() < held {
+				t.Fatalf("revision decreased from %d to %d after %#v", held, s.Revision(), ev)
 			}
-			held = s.Held()
+			held = s.Revision()
 		}
 	})
 }
@@ -166,7 +166,7 @@
 	s := newState(false)
 	s.Step(start, PlatformAnswered{Revision: 1})
 	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(time.Second) {
-		s.Step(now, Heard{Peer: "p", Revision: 1, Age: 3 * time.Second})
+		s.Step(now, PeerReported{Peer: "p", Revision: 1, Age: 3 * time.Second})
 		_, read := firstAction[Read](s.Step(now, Ticked{}))
 		c.Assert(read, qt.IsFalse)
 	}
--- a/transport/claims/homes.go
+++ b/transport/claims/homes.go
@@ -30,7 +30,7 @@
 
 // set takes the routers of the instance list; it returns which shards have
 // their home here.
-func (h *homes) set(peers []Peer) claim.HomesSet {
+func (h *homes) set(peers []Peer) claim.HomesChanged {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.address = map[string]string{}
@@ -41,7 +41,7 @@
 			ids = append(ids, p.ID)
 		}
 	}
-	out := claim.HomesSet{Routers: len(ids)}
+	out := claim.HomesChanged{Routers: len(ids)}
 	for s := range h.rank {
 		ranked := claim.Rank(s, ids)
 		out.Home[s] = ranked[0] == h.self
--- a/transport/claims/writer.go
+++ b/transport/claims/writer.go
@@ -65,7 +65,7 @@
 }
 
 func (w *writer) handle(ctx context.Context, ev event) {
-	if asked, ok := ev.event.(claim.Asked); ok {
+	if asked, ok := ev.event.(claim.CallReceived); ok {
 		w.lastID++
 		asked.Call.ID = w.lastID
 		w.waiting[w.lastID] = ev.answer
@@ -105,7 +105,7 @@
 // ask hands a call to the duty and waits for its answer.
 func (w *writer) ask(ctx context.Context, c claim.Call) claim.Answer {
 	answer := make(chan claim.Answer, 1)
-	if !w.post(ctx, event{event: claim.Asked{Call: c}, answer: answer}) {
+	if !w.post(ctx, event{event: claim.CallReceived{Call: c}, answer: answer}) {
 		return claim.Answer{Verdict: claim.Unavailable}
 	}
 	select {
--- a/transport/operators/confirms.go
+++ b/transport/operators/confirms.go
@@ -80,11 +80,11 @@
 		ctx, cancel := context.WithTimeout(parent, callTimeout)
 		defer cancel()
 		return nil, s.stale(ctx, ask.BaseRevision, done.Head)
-	case confirm.Forgotten:
+	case confirm.HistoryOverwritten:
 		return nil, failure(http.StatusConflict, operator.ReasonForgotten, "the plan is older than the history; plan again")
 	case confirm.TooLarge:
 		return nil, failure(http.StatusUnprocessableEntity, operator.ReasonConfigLarge, "the configuration doesn't fit in one platform value")
-	case confirm.Unsettled:
+	case confirm.OutcomeUnknown:
 		p := failure(http.StatusServiceUnavailable, operator.ReasonUnsettled, fmt.Sprintf(
 			"the platform did not answer: the plan may or may not be in force. "+
 				"Confirm it again (it can't take effect twice) or ask with 'goldcrestctl settle %d-%s'", ask.BaseRevision, ask.Digest))
@@ -133,7 +133,7 @@
 		answer.State = operator.SettleNotAccepted
 	case confirm.Open:
 		answer.State = operator.SettleOpen
-	case confirm.Forgotten:
+	case confirm.HistoryOverwritten:
 		answer.State = operator.SettleForgotten
 	default:
 		return nil, failure(http.StatusServiceUnavailable, outcome.ReasonPlatform, "the platform's key-value service can't be read now")
--- a/transport/router/operators.go
+++ b/transport/router/operators.go
@@ -81,7 +81,7 @@
 	add(queuesOf(v.r.snapshot().Queues, teams))
 	v.r.eachRouter(ctx, teams, func(_ platform.Instance, answer *wire.SummaryResponse) {
 		if answer == nil {
-			facts.SilentRouters++
+			facts.UnresponsiveRouters++
 			return
 		}
 		add(answer.Asked)
--- a/transport/sidecar/orders.go
+++ b/transport/sidecar/orders.go
@@ -56,7 +56,7 @@
 	for _, m := range service.Models {
 		want.Items = append(want.Items, orders.Item{Adapter: m.Adapter, Name: m.Name, Version: m.Version})
 	}
-	r.post(ctx, orders.Wanted{Want: want})
+	r.post(ctx, orders.WantChanged{Want: want})
 }
 
 func (r *reconciler) post(ctx context.Context, ev orders.Event) {
@@ -96,7 +96,7 @@
 			go r.send(ctx, a.Order)
 		}
 	}
-	left := int64(r.core.Progress().Left)
+	left := int64(r.core.Progress().Remaining)
 	if r.left.Swap(left) != left {
 		r.s.metrics.ordersLeft.Set(left)
 		_ = r.s.log.Log("event", "orders", "left", left, "revision", r.core.Progress().Revision)
--- a/transport/spread/instances.go
+++ b/transport/spread/instances.go
@@ -125,7 +125,7 @@
 		return false
 	}
 	age := wire.Millis(resp.ConfigAgeMs)
-	s.post(ctx, message{event: spread.Heard{Peer: key(p), Revision: resp.Revision, Age: age}})
+	s.post(ctx, message{event: spread.PeerReported{Peer: key(p), Revision: resp.Revision, Age: age}})
 	return s.takeInstances(ctx, resp)
 }
 
@@ -190,7 +190,7 @@
 	if old.digest == l.digest {
 		return
 	}
-	ev := spread.Listed{Processes: len(got)}
+	ev := spread.InstancesListed{Processes: len(got)}
 	for _, i := range got {
 		if i.Role == platform.RoleRouter && i.State == platform.StateLive {
 			ev.Routers = append(ev.Routers, spread.Member{ID: i.ID, DataCentre: i.DataCentre})
--- a/transport/spread/peers.go
+++ b/transport/spread/peers.go
@@ -80,7 +80,7 @@
 		return
 	}
 	age := wire.Millis(resp.ConfigAgeMs)
-	s.post(ctx, message{event: spread.Heard{Peer: from, Revision: resp.Revision, Age: age}})
+	s.post(ctx, message{event: spread.PeerReported{Peer: from, Revision: resp.Revision, Age: age}})
 	s.post(ctx, message{event: spread.Fetched{Peer: from, Revision: resp.Revision, Age: age}, doc: doc})
 }
 
--- a/transport/spread/spread.go
+++ b/transport/spread/spread.go
@@ -151,7 +151,7 @@
 		s.contact.Store(&p)
 	}
 	select {
-	case s.messages <- message{event: spread.Heard{Peer: key(p), Revision: revision, Age: age}}:
+	case s.messages <- message{event: spread.PeerReported{Peer: key(p), Revision: revision, Age: age}}:
 	default:
 	}
 }
