--- a/coordination/claim/event.go
+++ b/coordination/claim/event.go
@@ -63,7 +63,7 @@
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Asked is a new call.
+// CallReceived is a new call.
 type CallReceived struct{ Call Call }
 
 // CallResult is the result of a platform call.
@@ -114,7 +114,7 @@
 	Table  *claims.Table
 }
 
-// HomesSet reports the shards whose home is this router, and the number of
+// HomesChanged reports the shards whose home is this router, and the number of
 // running routers.
 type HomesChanged struct {
 	Home    [claims.Shards]bool
--- a/coordination/confirm/confirm.go
+++ b/coordination/confirm/confirm.go
@@ -45,10 +45,10 @@
 	// Unavailable means that the platform can't be reached now and this
 	// confirmation did not change the head.
 	Unavailable
-	// Unsettled means that a write of the head may or may not have taken
+	// OutcomeUnknown means that a write of the head may or may not have taken
 	// effect.
 	OutcomeUnknown
-	// Forgotten means that the history entry needed to decide the outcome has
+	// HistoryOverwritten means that the history entry needed to decide the outcome has
 	// been overwritten.
 	HistoryOverwritten
 	// TooLarge means that the document exceeds the platform's size limit.
--- a/coordination/orders/event.go
+++ b/coordination/orders/event.go
@@ -62,7 +62,7 @@
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Wanted reports a configuration that has come into force.
+// WantChanged reports a configuration that has come into force.
 type WantChanged struct{ Want Want }
 
 // Observed is the state reported by the engine in answer to the Observe with the
--- a/coordination/orders/orders.go
+++ b/coordination/orders/orders.go
@@ -82,13 +82,13 @@
 // Progress is the state of the reconciliation.
 type Progress struct {
 	Revision uint64
-	// Left is the number of orders that remain to be sent.
+	// Remaining is the number of orders that remain to be sent.
 	Remaining int
-	// Waiting is the permit that has been requested but not granted.
+	// WaitingFor is the permit that has been requested but not granted.
 	WaitingFor Permit
 	// Sent is the order in flight, nil for none.
 	Sent *Order
-	// Unsure is true if the order in flight got no answer and may or may not
+	// Unanswered is true if the order in flight got no answer and may or may not
 	// take effect.
 	Unanswered bool
 	// Behind is true if the engine has seen a newer fencing token.
--- a/coordination/plan/plan.go
+++ b/coordination/plan/plan.go
@@ -164,7 +164,7 @@
 	// Queues holds the queued requests of changed teams, with one entry per
 	// router, team and service.
 	Queues []Queue
-	// SilentRouters counts the routers that did not report their queues.
+	// UnresponsiveRouters counts the routers that did not report their queues.
 	UnresponsiveRouters int
 	// BackendsKnown is false if the instance list could not be read.
 	BackendsKnown bool
--- a/coordination/spread/event.go
+++ b/coordination/spread/event.go
@@ -5,8 +5,8 @@
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Heard is a peer's report of its current revision. Age is the time since that
-// revision was last confirmed as the newest.
+// PeerReported is a peer's report of its current revision. Age is the time since
+// that revision was last confirmed as the newest.
 type PeerReported struct {
 	Peer     string
 	Revision uint64
@@ -37,7 +37,7 @@
 // Member is one router of the instance list.
 type Member struct{ ID, DataCentre string }
 
-// Listed reports a new instance list: the routers, and the number of all
+// InstancesListed reports a new instance list: the routers, and the number of all
 // processes.
 type InstancesListed struct {
 	Routers   []Member
--- a/coordination/spread/spread.go
+++ b/coordination/spread/spread.go
@@ -81,7 +81,7 @@
 // newer one. Once true, it stays true.
 func (s *State) Ready() bool { return s.ready }
 
-// Held returns the current revision of this process.
+// Revision returns the current revision of this process.
 func (s *State) Revision() uint64 { return s.current }
 
 // Age returns the time since the current revision was last confirmed as the
