--- a/coordination/limit/config.go
+++ b/coordination/limit/config.go
@@ -1,9 +1,9 @@
-// Package limit decides how many requests a sidecar lets run at once at its
-// backend server: from the times to the first token and between tokens, and
-// from whether the server answers at all.
+// Package limit adapts the number of requests that a sidecar runs concurrently
+// on its backend server. It uses the time to the first token, the time between
+// tokens and whether the server answers at all.
 //
-// The types are pure: they take measurements and hold no clock. The driver is
-// transport/sidecar.
+// The types do no I/O and read no clock: the driver, transport/sidecar, passes
+// measurements and times to them.
 //
 // Sidecars use it.
 package limit
@@ -16,37 +16,39 @@
 
 // Config holds the parameters of a Limiter.
 type Config struct {
-	// Min is the smallest limit, in requests. Default 1.
+	// Min is the lower bound of the limit, in requests. Default 1.
 	Min int
-	// Max is the largest limit and the first one, in requests. Default 8.
+	// Max is the upper bound of the limit and its initial value, in requests.
+	// Default 8.
 	Max int
-	// First is the target of the time to the first token, for 95 in 100.
-	// Default 970ms.
+	// First is the target for the 95th percentile of the time to the first
+	// token. Default 970ms.
 	First time.Duration
-	// Gap is the target of the time between tokens, for 95 in 100.
+	// Gap is the target for the 95th percentile of the time between tokens.
 	// Default 50ms.
 	Gap time.Duration
-	// MinSamples is the number of samples below which a percentile is not
-	// used. Default 20.
+	// MinSamples is the number of samples that a percentile needs to be used.
+	// Default 20.
 	MinSamples int
-	// Settle is the number of windows after a change in which nothing is
-	// decided, since what is measured and reported lags. It must cover the
-	// lag of the engine's report. Default 3.
+	// Settle is the number of windows after a change of the limit in which it
+	// is not changed again, because measurements and reports lag. It must cover
+	// the lag of the engine's report. Default 3.
 	Settle int
-	// Headroom is the part of the targets below which the limit may rise.
+	// Headroom is the fraction of the targets below which the limit may rise.
 	// Default 0.9.
 	Headroom float64
-	// Deepest is the smallest factor of one decrease. Default 0.7.
+	// Deepest bounds one decrease: the limit is multiplied by at least this
+	// factor. Default 0.7.
 	Deepest float64
-	// Again is the number of windows after which a limit that was too high is
-	// tried again. Default 30.
+	// Again is the number of windows after which a limit that exceeded a target
+	// may be tried again. Default 30.
 	Again int
-	// Futile is the number of decreases in a row without effect after which
-	// they are taken back. Default 2.
+	// Futile is the number of consecutive decreases without effect after which
+	// they are reverted. Default 2.
 	Futile int
 }
 
-// DefaultConfig returns the documented defaults.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
 		Min:        1,
@@ -62,12 +64,12 @@
 	}
 }
 
-// Validate returns an error that names each field out of range.
+// Validate returns an error that names each field that is out of range.
 func (c Config) Validate() error {
 	var err error
-	check := func(ok bool, what string) {
+	check := func(ok bool, msg string) {
 		if !ok {
-			err = errors.CombineErrors(err, errors.New(what))
+			err = errors.CombineErrors(err, errors.New(msg))
 		}
 	}
 	check(c.Min > 0, "Min must be positive")
--- a/coordination/limit/health.go
+++ b/coordination/limit/health.go
@@ -6,48 +6,50 @@
 	"goldcrestport/coordination/health"
 )
 
-// fewestTeams is the number of teams whose requests must fail before error
-// answers count against the server: one team's bad requests are not its fault.
-const fewestTeams = 2
+// minFailingTeams is the number of teams whose requests must fail before error
+// responses can eject the server: the invalid requests of a single team are no
+// sign of a faulty server.
+const minFailingTeams = 2
 
-// Result is how a run ended at the backend server.
+// Result is the outcome of a run at the backend server.
 type Result int
 
-// Results of a run.
 const (
-	// NoResult says nothing about the server, such as a cancelled run.
+	// NoResult is an outcome that says nothing about the server's health, such
+	// as a cancelled run.
 	NoResult Result = iota
-	// Answered is an answer without a server error.
+	// Answered is a response without a server error.
 	Answered
-	// ErrorAnswer is an answer that tells a server error.
+	// ErrorAnswer is a response that reports a server error.
 	ErrorAnswer
-	// NoAnswer is a call that was refused, broke off or was cut short.
+	// NoAnswer is a call that was refused, or whose response was interrupted or
+	// truncated.
 	NoAnswer
 )
 
-// Health decides whether the backend server gets work at all. While it fails,
-// one run at a time probes it, so that it does not draw work by failing fast.
-// It must be used by one goroutine at a time.
+// Health decides whether the backend server receives requests at all. While the
+// server is ejected, one run at a time probes it, so that it does not attract
+// requests by failing fast. Health must not be used concurrently.
 type Health struct {
 	tracker *health.Tracker
-	// teams whose requests failed since the last answer.
-	teams map[string]bool
-	// silent tells that a call got no answer since then.
-	silent bool
-	// probe is the run that probes, if one does.
-	probe uint64
+	// failingTeams holds the teams whose requests failed since the last successful
+	// response.
+	failingTeams map[string]bool
+	// noAnswer reports whether a call got no response since then.
+	noAnswer bool
+	// probeRun is the run that is the current probe request, if there is one.
+	probeRun uint64
 }
 
-// NewHealth returns the health of a server that is well. The config must be
-// valid.
+// NewHealth returns the state of a healthy server. The config must be valid.
 func NewHealth(cfg health.Config) *Health {
-	return &Health{tracker: health.New(cfg), teams: map[string]bool{}}
+	return &Health{tracker: health.New(cfg), failingTeams: map[string]bool{}}
 }
 
-// Ejected reports whether the server gets nothing but probes.
+// Ejected reports whether the server receives only probe requests.
 func (h *Health) Ejected() bool { return h.tracker.Ejected() }
 
-// Slots returns how many of limit requests may run at the time now.
+// Slots returns how many requests may run at the time now, at most limit.
 func (h *Health) Slots(now time.Time, limit int) int {
 	switch {
 	case !h.tracker.Ejected():
@@ -59,47 +61,49 @@
 	}
 }
 
-// Started takes the start of a run; one that starts when a probe is due is
-// the probe.
+// Started records the start of a run. A run that starts while a probe is due
+// becomes the probe.
 func (h *Health) Started(now time.Time, run uint64) {
 	if h.tracker.ProbeDue(now) {
 		h.tracker.ProbeSent()
-		h.probe = run
+		h.probeRun = run
 	}
 }
 
-// Ended takes the end of a run.
+// Ended records the outcome of a run. While the server is ejected, only the
+// probe counts.
 func (h *Health) Ended(now time.Time, run uint64, team string, r Result) {
 	if h.tracker.Ejected() {
-		if h.tracker.Probing() && run == h.probe {
-			h.tracker.ProbeEnded(now, verdict(r))
+		if h.tracker.Probing() && run == h.probeRun {
+			h.tracker.ProbeEnded(now, healthResult(r))
 		}
 		return
 	}
-	h.remember(team, r)
-	h.tracker.Record(verdict(r))
-	if h.tracker.Suspect() && (h.silent || len(h.teams) >= fewestTeams) {
+	h.trackFailures(team, r)
+	h.tracker.Record(healthResult(r))
+	if h.tracker.Suspect() && (h.noAnswer || len(h.failingTeams) >= minFailingTeams) {
 		h.tracker.Eject(now)
-		clear(h.teams)
-		h.silent = false
+		clear(h.failingTeams)
+		h.noAnswer = false
 	}
 }
 
-// remember keeps whose requests failed since the last answer.
-func (h *Health) remember(team string, r Result) {
+// trackFailures records which teams' requests failed since the last successful
+// response.
+func (h *Health) trackFailures(team string, r Result) {
 	switch r {
 	case Answered:
-		clear(h.teams)
-		h.silent = false
+		clear(h.failingTeams)
+		h.noAnswer = false
 	case ErrorAnswer:
-		h.teams[team] = true
+		h.failingTeams[team] = true
 	case NoAnswer:
-		h.teams[team] = true
-		h.silent = true
+		h.failingTeams[team] = true
+		h.noAnswer = true
 	}
 }
 
-func verdict(r Result) health.Result {
+func healthResult(r Result) health.Result {
 	switch r {
 	case Answered:
 		return health.Success
--- a/coordination/limit/health_test.go
+++ b/coordination/limit/health_test.go
@@ -12,7 +12,7 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-func TestOneTeamsErrorsDoNotCloseTheServer(t *testing.T) {
+func TestErrorsOfOneTeamDoNotEjectServer(t *testing.T) {
 	for name, test := range map[string]struct {
 		teams  []string
 		result limit.Result
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestFailingServerGetsOneProbeAtATime(t *testing.T) {
+func TestEjectedServerGetsOneProbeAtATime(t *testing.T) {
 	c := qt.New(t)
 	h := limit.NewHealth(health.DefaultConfig())
 	for i := range 5 {
@@ -46,7 +46,7 @@
 		c.Assert(h.Slots(now, 8), qt.Equals, 1)
 		h.Started(now, probe)
 		h.Started(now, 99)
-		h.Ended(now, 99, "a", limit.Answered) // not the probe
+		h.Ended(now, 99, "a", limit.Answered) // not the probe: does not count
 		c.Assert(h.Slots(now, 8), qt.Equals, 1)
 		h.Ended(now, probe, "a", limit.Answered)
 	}
--- a/coordination/limit/limit.go
+++ b/coordination/limit/limit.go
@@ -2,96 +2,101 @@
 
 import "time"
 
-// Report is the engine's own view of its load. It lags.
+// Report is the load that the engine reports about itself. It lags behind the
+// actual load.
 type Report struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// Window is what was measured since the last window.
+// Window holds the measurements since the previous window.
 type Window struct {
-	// First and Gap are 95th percentiles of the time to the first token and
-	// between tokens.
+	// First and Gap are the 95th percentiles of the time to the first token and
+	// of the time between tokens.
 	First time.Duration
 	Gap   time.Duration
-	// Firsts and Gaps are the numbers of samples behind them.
+	// Firsts and Gaps are the numbers of samples of First and Gap.
 	Firsts int
 	Gaps   int
-	// Peak is the largest number of requests that ran at once.
+	// Peak is the largest number of concurrent requests.
 	Peak int
-	// Report is the engine's last report, nil if there is none.
+	// Report is the engine's latest report, nil if there is none.
 	Report *Report
 }
 
-// Limiter adapts the limit, one window after the other. It must be used by
-// one goroutine at a time.
+// Limiter adapts the concurrency limit after each window. It must not be used
+// concurrently.
 //
 // Invariant: Min <= limit <= Max.
 type Limiter struct {
 	cfg   Config
 	limit int
-	// settle is the number of windows in which nothing is decided.
-	settle int
-	// tooHigh is the smallest limit known to pass a target, until forget
-	// windows have gone by; 0 for none.
-	tooHigh int
-	forget  int
-	// before is the limit at the first of a row of decreases, and load the
-	// load at the last one, to see whether they help.
-	before int
-	load   float64
-	futile int
-	// unaided is the number of windows left in which the load is known not
-	// to depend on the limit.
-	unaided int
+	// settleWindows is the number of windows left until the limit may change again.
+	settleWindows int
+	// tooHigh is the smallest limit known to exceed a target, 0 for none. It
+	// expires after tooHighWindows windows.
+	tooHigh        int
+	tooHighWindows int
+	// seriesStart is the limit before the first of the present consecutive
+	// decreases and lastLoad the relative load at the latest one; they show
+	// whether the decreases have an effect. futileDecreases counts those that
+	// had none.
+	seriesStart     int
+	lastLoad        float64
+	futileDecreases int
+	// independentWindows is the number of windows left in which the load is taken not to
+	// depend on the limit.
+	independentWindows int
 }
 
-// New returns a limiter at the largest limit. The config must be valid.
+// New returns a limiter that starts at the largest limit. The config must be
+// valid.
 func New(cfg Config) *Limiter { return &Limiter{cfg: cfg, limit: cfg.Max} }
 
-// Limit returns the present limit.
+// Limit returns the current limit.
 func (l *Limiter) Limit() int { return l.limit }
 
-// Observe takes one window and returns the limit from now on.
+// Observe updates the limit with the measurements of one window and returns the
+// new limit.
 func (l *Limiter) Observe(w Window) int {
-	l.age()
+	l.expire()
 	ceiling := l.ceiling(w.Report)
 	if l.limit > ceiling {
-		l.move(ceiling)
+		l.setLimit(ceiling)
 	}
-	if l.settle > 0 {
-		l.settle--
+	if l.settleWindows > 0 {
+		l.settleWindows--
 		return l.limit
 	}
-	load, measured := l.relative(w)
+	load, measured := l.relativeLoad(w)
 	switch {
 	case !measured:
 	case load > 1:
-		l.lower(load)
+		l.decrease(load)
 	case load < l.cfg.Headroom:
-		l.endRow()
+		l.endSeries()
 		if w.Peak >= l.limit && l.mayRaise(ceiling) {
-			l.move(l.limit + 1)
+			l.setLimit(l.limit + 1)
 		}
 	}
 	return l.limit
 }
 
-// age lets what is known of the past fade.
-func (l *Limiter) age() {
-	if l.unaided > 0 {
-		l.unaided--
+// expire discards what was learnt in earlier windows.
+func (l *Limiter) expire() {
+	if l.independentWindows > 0 {
+		l.independentWindows--
 	}
-	if l.forget > 0 {
-		if l.forget--; l.forget == 0 {
+	if l.tooHighWindows > 0 {
+		if l.tooHighWindows--; l.tooHighWindows == 0 {
 			l.tooHigh = 0
 		}
 	}
 }
 
-// ceiling is the largest useful limit: beyond the engine's slots requests
-// would queue in the engine, which knows no shares.
+// ceiling returns the largest useful limit. Requests beyond the engine's slots
+// would wait in the queue of the engine, which doesn't know the teams' shares.
 func (l *Limiter) ceiling(r *Report) int {
 	if r == nil || r.Slots <= 0 {
 		return l.cfg.Max
@@ -99,9 +104,9 @@
 	return max(min(l.cfg.Max, r.Slots), l.cfg.Min)
 }
 
-// relative returns the load in parts of the tighter target, and whether
-// enough was measured.
-func (l *Limiter) relative(w Window) (float64, bool) {
+// relativeLoad returns the load as a fraction of the target that is exceeded most or
+// closest to it, and whether there were enough samples.
+func (l *Limiter) relativeLoad(w Window) (float64, bool) {
 	load, measured := 0.0, false
 	if w.Firsts >= l.cfg.MinSamples {
 		load, measured = float64(w.First)/float64(l.cfg.First), true
@@ -112,56 +117,56 @@
 	return load, measured
 }
 
-// mayRaise reports whether one more is allowed: not beyond the ceiling, and
-// not up to a limit that was too high a short while ago.
+// mayRaise reports whether the limit may rise by one: not above the ceiling, and
+// not to a limit that recently exceeded a target.
 func (l *Limiter) mayRaise(ceiling int) bool {
 	return l.limit < ceiling && (l.tooHigh == 0 || l.limit+1 < l.tooHigh)
 }
 
-// lower decreases the limit by as much as the target is passed. Decreases
-// that do not help are taken back: then the time goes elsewhere, such as into
-// long prompts, and a smaller limit would only waste capacity.
-func (l *Limiter) lower(load float64) {
-	if l.unaided > 0 {
+// decrease lowers the limit in proportion to the excess over the target.
+// Decreases without effect are reverted: the latency then has another cause,
+// such as long prompts, and a smaller limit would only waste capacity.
+func (l *Limiter) decrease(load float64) {
+	if l.independentWindows > 0 {
 		return
 	}
-	if l.helpless(load) {
-		l.move(l.before)
-		l.unaided = l.cfg.Again
-		l.endRow()
-		l.tooHigh, l.forget = 0, 0
+	if l.isFutile(load) {
+		l.setLimit(l.seriesStart)
+		l.independentWindows = l.cfg.Again
+		l.endSeries()
+		l.tooHigh, l.tooHighWindows = 0, 0
 		return
 	}
-	if l.before == 0 {
-		l.before = l.limit
+	if l.seriesStart == 0 {
+		l.seriesStart = l.limit
 	}
-	l.load = load
-	l.tooHigh, l.forget = l.limit, l.cfg.Again
+	l.lastLoad = load
+	l.tooHigh, l.tooHighWindows = l.limit, l.cfg.Again
 	factor := max(1/load, l.cfg.Deepest)
-	l.move(max(min(int(float64(l.limit)*factor), l.limit-1), l.cfg.Min))
+	l.setLimit(max(min(int(float64(l.limit)*factor), l.limit-1), l.cfg.Min))
 }
 
-// leastGain is the part by which a decrease must lower the load to count as
-// a help.
-const leastGain = 0.02
+// minLoadReduction is the fraction by which a decrease of the limit must reduce the
+// load to count as effective.
+const minLoadReduction = 0.02
 
-// helpless reports whether the last decreases in a row had no effect.
-func (l *Limiter) helpless(load float64) bool {
-	if l.before > 0 && load > l.load*(1-leastGain) {
-		l.futile++
+// isFutile reports whether the latest consecutive decreases had no effect.
+func (l *Limiter) isFutile(load float64) bool {
+	if l.seriesStart > 0 && load > l.lastLoad*(1-minLoadReduction) {
+		l.futileDecreases++
 	} else {
-		l.futile = 0
+		l.futileDecreases = 0
 	}
-	return l.futile >= l.cfg.Futile
+	return l.futileDecreases >= l.cfg.Futile
 }
 
-// endRow closes a row of decreases.
-func (l *Limiter) endRow() { l.before, l.load, l.futile = 0, 0, 0 }
+// endSeries ends a series of consecutive decreases.
+func (l *Limiter) endSeries() { l.seriesStart, l.lastLoad, l.futileDecreases = 0, 0, 0 }
 
-func (l *Limiter) move(limit int) {
+func (l *Limiter) setLimit(limit int) {
 	if limit == l.limit {
 		return
 	}
 	l.limit = limit
-	l.settle = l.cfg.Settle
+	l.settleWindows = l.cfg.Settle
 }
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -10,49 +10,51 @@
 	"goldcrestport/coordination/limit"
 )
 
-// engine is a fake whose gap between tokens grows with what runs and whose
-// queue delays the first token. What it shows lags by some windows.
+// engine is a fake engine. Its time between tokens grows with the number of
+// running requests, and requests that wait in its queue get their first token
+// late. Its measurements lag by a number of windows.
 type engine struct {
-	slots  int
-	step   time.Duration // between tokens with one request
-	slope  float64       // part of a step that each further request adds
-	first  time.Duration // time to the first token with a free slot
-	lag    int
-	shown  []limit.Window
-	demand int
+	slots      int
+	baseGap    time.Duration // between tokens with one request
+	gapGrowth  float64       // fraction of baseGap that each further request adds
+	baseFirst  time.Duration // time to the first token with a free slot
+	lagWindows int
+	measured   []limit.Window
+	demand     int
 }
 
-// window returns what is seen of one window at the limit.
-func (e *engine) window(limited int) limit.Window {
-	running := min(limited, e.demand)
+// window returns the lagging measurements of one window at the limit.
+func (e *engine) window(maxRunning int) limit.Window {
+	running := min(maxRunning, e.demand)
 	w := limit.Window{Firsts: 100, Gaps: 1000, Peak: running}
-	inside := min(running, e.slots)
-	w.Gap = time.Duration(float64(e.step) * (1 + e.slope*float64(inside-1)))
-	w.First = e.first + time.Duration(running-inside)*time.Second
-	w.Report = &limit.Report{Running: inside, Waiting: running - inside, Slots: e.slots}
-	e.shown = append(e.shown, w)
-	return e.shown[max(len(e.shown)-1-e.lag, 0)]
+	inSlots := min(running, e.slots)
+	w.Gap = time.Duration(float64(e.baseGap) * (1 + e.gapGrowth*float64(inSlots-1)))
+	w.First = e.baseFirst + time.Duration(running-inSlots)*time.Second
+	w.Report = &limit.Report{Running: inSlots, Waiting: running - inSlots, Slots: e.slots}
+	e.measured = append(e.measured, w)
+	return e.measured[max(len(e.measured)-1-e.lagWindows, 0)]
 }
 
-// knee is the largest limit at which the gap is within the target.
+// knee returns the largest limit at which the time between tokens is within the
+// target.
 func (e *engine) knee(target time.Duration) int {
 	n := 1
-	for float64(e.step)*(1+e.slope*float64(n)) <= float64(target) && n < e.slots {
+	for float64(e.baseGap)*(1+e.gapGrowth*float64(n)) <= float64(target) && n < e.slots {
 		n++
 	}
 	return n
 }
 
-func config(largest int) limit.Config {
+func config(maxLimit int) limit.Config {
 	cfg := limit.DefaultConfig()
-	cfg.Max = largest
+	cfg.Max = maxLimit
 	return cfg
 }
 
 func TestLimitSettlesBelowTheKneeUnderLag(t *testing.T) {
 	for _, lag := range []int{0, 1, 2, 3} {
 		for _, slope := range []float64{0.02, 0.05, 0.2, 1} {
-			e := &engine{slots: 64, step: 20 * time.Millisecond, slope: slope, first: 100 * time.Millisecond, lag: lag, demand: 100}
+			e := &engine{slots: 64, baseGap: 20 * time.Millisecond, gapGrowth: slope, baseFirst: 100 * time.Millisecond, lagWindows: lag, demand: 100}
 			l := limit.New(config(64))
 			knee := e.knee(50 * time.Millisecond)
 			low, high, above := 64, 0, 0
@@ -75,17 +77,17 @@
 	}
 }
 
-func TestLimitKeepsOutOfTheEnginesQueue(t *testing.T) {
-	e := &engine{slots: 6, step: 10 * time.Millisecond, slope: 0.02, first: 100 * time.Millisecond, lag: 1, demand: 50}
+func TestLimitStaysWithinEngineSlots(t *testing.T) {
+	e := &engine{slots: 6, baseGap: 10 * time.Millisecond, gapGrowth: 0.02, baseFirst: 100 * time.Millisecond, lagWindows: 1, demand: 50}
 	l := limit.New(config(32))
 	l.Observe(e.window(l.Limit()))
 	qt.Assert(t, l.Limit(), qt.Equals, 6)
 }
 
-// A first token that is late for another reason, such as long prompts, may
-// not cost capacity for ever.
-func TestDecreasesWithoutEffectAreTakenBack(t *testing.T) {
-	e := &engine{slots: 16, step: 10 * time.Millisecond, slope: 0.02, first: 3 * time.Second, lag: 1, demand: 50}
+// Guards against a limit that stays low although the first token is late for
+// another reason, such as long prompts: that would waste capacity.
+func TestDecreasesWithoutEffectAreReverted(t *testing.T) {
+	e := &engine{slots: 16, baseGap: 10 * time.Millisecond, gapGrowth: 0.02, baseFirst: 3 * time.Second, lagWindows: 1, demand: 50}
 	l := limit.New(config(16))
 	full := 0
 	for range 400 {
@@ -96,8 +98,8 @@
 	qt.Assert(t, full >= 280, qt.IsTrue, qt.Commentf("full in %d of 400", full))
 }
 
-func TestLimitRisesOnlyWhenUsed(t *testing.T) {
-	e := &engine{slots: 64, step: 20 * time.Millisecond, slope: 0.2, first: time.Millisecond, demand: 100}
+func TestLimitRisesOnlyUnderDemand(t *testing.T) {
+	e := &engine{slots: 64, baseGap: 20 * time.Millisecond, gapGrowth: 0.2, baseFirst: time.Millisecond, demand: 100}
 	l := limit.New(config(64))
 	for range 60 {
 		l.Observe(e.window(l.Limit()))
@@ -110,7 +112,7 @@
 	qt.Assert(t, l.Limit() <= settled+1, qt.IsTrue, qt.Commentf("%d, then %d", settled, l.Limit()))
 }
 
-func TestBoundsAreNeverPassed(t *testing.T) {
+func TestLimitStaysWithinMinAndMax(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config(rapid.IntRange(2, 20).Draw(t, "max"))
 		cfg.Min = rapid.IntRange(1, cfg.Max).Draw(t, "min")
