--- a/coordination/attempt/attempt.go
+++ b/coordination/attempt/attempt.go
@@ -1,6 +1,6 @@
-// Package attempt decides, at a router, how one request goes on when the
-// answer of an attempt breaks off: it asks the sidecar what became of the
-// attempt, resumes the answer, dispatches the request again, or ends it.
+// Package attempt decides how a router continues a request after the response
+// of an attempt was interrupted: it queries the sidecar for the attempt's fate,
+// resumes the response, dispatches the request again, or ends it.
 //
 // The package is a pure state machine: State.Step takes an event and the time
 // and returns the action to perform. It has no I/O, clock or goroutines. The
@@ -15,24 +15,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config holds the bounds of the decisions about one request.
+// Config holds the retry limits of one request.
 type Config struct {
-	// MaxRepeats bounds how often a request is dispatched again after an
-	// attempt that may have run. Only idempotent requests are. Default 2.
+	// MaxRepeats bounds how often an idempotent request is dispatched again
+	// after an attempt that may have run; other requests never are. Default 2.
 	MaxRepeats int
 	// MaxNotRun bounds how often a request is dispatched again after an
-	// attempt that was lost but proven not to have run. Default 8.
+	// attempt that provably did not run. Default 8.
 	MaxNotRun int
-	// MaxResumes bounds the resumes in a row that bring no byte. Default 4.
+	// MaxResumes bounds the consecutive resumes that yield no new byte.
+	// Default 4.
 	MaxResumes int
-	// SettleFor bounds the time in which a sidecar is asked for the fate of an
-	// attempt. Default 3s.
+	// SettleFor bounds the time for which the fate of an attempt is queried
+	// from its sidecar. Default 3s.
 	SettleFor time.Duration
-	// SettleEvery is the pause between two questions. Default 100ms.
+	// SettleEvery is the delay between two queries. Default 100ms.
 	SettleEvery time.Duration
 }
 
-// DefaultConfig returns the documented defaults.
+// DefaultConfig returns the default limits.
 func DefaultConfig() Config {
 	return Config{
 		MaxRepeats:  2,
@@ -43,7 +44,7 @@
 	}
 }
 
-// Validate returns an error that names each field out of range.
+// Validate returns an error that names each field that is out of range.
 func (c Config) Validate() error {
 	var err error
 	check := func(ok bool, msg string) {
@@ -59,126 +60,125 @@
 	return err
 }
 
-// Request is what the decision needs to know of the request.
+// Request holds the properties of a request that the decisions depend on.
 type Request struct {
 	Idempotent bool
-	// Deadline after which nothing is started any more; zero for none.
+	// Deadline is the time from which no attempt is started; zero for none.
 	Deadline time.Time
 }
 
-// State is the state of one request. It must be used by one goroutine at a
-// time.
+// State is the state of one request. It must not be used concurrently.
 //
-// Invariants, from DESIGN section 5: a request that is not idempotent is
-// dispatched again only when every earlier attempt is proven not to have run;
-// a request of which a byte was delivered is never dispatched again; a request
-// of which an attempt may have run never ends as not-run.
+// Invariants, from DESIGN section 5: a non-idempotent request is dispatched
+// again only if every earlier attempt provably did not run; a request is never
+// dispatched again once a byte of its response was delivered; a request never
+// ends as not-run if one of its attempts may have run.
 type State struct {
-	cfg        Config
-	req        Request
-	delivered  bool
-	offset     int64
-	mayHaveRun bool
-	repeats    int
-	notRun     int
-	resumes    int
-	asked      time.Time
+	cfg         Config
+	req         Request
+	delivered   bool
+	offset      int64
+	mayHaveRun  bool
+	repeatCount int
+	notRunCount int
+	resumeCount int
+	lostAt      time.Time
 }
 
-// New returns the state of a request that was not dispatched yet. The config
+// New returns the state of a request before its first dispatch. The config
 // must be valid.
 func New(cfg Config, req Request) *State { return &State{cfg: cfg, req: req} }
 
-// MayHaveRun reports whether an attempt of the request may have run, so that
-// the request must not end as not-run.
+// MayHaveRun reports whether an attempt of the request may have run, in which
+// case the request must not end as not-run.
 func (s *State) MayHaveRun() bool { return s.mayHaveRun }
 
 // Step applies one event at the time now and returns the action to perform.
 func (s *State) Step(now time.Time, ev Event) Action {
 	switch ev := ev.(type) {
 	case Lost:
-		return s.lost(now, ev)
+		return s.handleLost(now, ev)
 	case Settled:
-		return s.settled(now, ev)
+		return s.handleSettled(now, ev)
 	case NoAnswer:
-		if now.Sub(s.asked) < s.cfg.SettleFor && !s.late(now) {
+		if now.Sub(s.lostAt) < s.cfg.SettleFor && !s.pastDeadline(now) {
 			return Settle{After: s.cfg.SettleEvery}
 		}
-		return s.unproven(now, LinkLost)
+		return s.afterMayHaveRun(now, LinkLost)
 	case BackendNotRun:
-		return s.proven(now, BackendServer)
+		return s.afterNotRun(now, BackendServer)
 	case BackendUnknown:
 		s.delivered = s.delivered || ev.Delivered
-		return s.unproven(now, BackendServer)
+		return s.afterMayHaveRun(now, BackendServer)
 	}
 	return Finish{Kind: Unknown, Cause: LinkLost}
 }
 
-func (s *State) late(now time.Time) bool {
+func (s *State) pastDeadline(now time.Time) bool {
 	return !s.req.Deadline.IsZero() && !now.Before(s.req.Deadline)
 }
 
-func (s *State) lost(now time.Time, ev Lost) Action {
+func (s *State) handleLost(now time.Time, ev Lost) Action {
 	s.delivered = s.delivered || ev.Delivered
 	if ev.Offset > s.offset {
 		s.offset = ev.Offset
-		s.resumes = 0
+		s.resumeCount = 0
 	}
 	if !ev.Sent {
-		return s.proven(now, LinkLost)
+		return s.afterNotRun(now, LinkLost)
 	}
-	s.asked = now
+	s.lostAt = now
 	return Settle{}
 }
 
-func (s *State) settled(now time.Time, ev Settled) Action {
+func (s *State) handleSettled(now time.Time, ev Settled) Action {
 	switch ev.Fate {
 	case NotRun:
-		return s.proven(now, LinkLost)
+		return s.afterNotRun(now, LinkLost)
 	case Running:
 		return s.resume(now)
 	case Ended:
 		if ev.AnswerKept {
 			return s.resume(now)
 		}
-		return s.unproven(now, AnswerLost)
+		return s.afterMayHaveRun(now, AnswerLost)
 	default:
-		return s.unproven(now, LinkLost)
+		return s.afterMayHaveRun(now, LinkLost)
 	}
 }
 
 func (s *State) resume(now time.Time) Action {
-	s.resumes++
-	if s.resumes > s.cfg.MaxResumes {
-		return s.unproven(now, LinkLost)
+	s.resumeCount++
+	if s.resumeCount > s.cfg.MaxResumes {
+		return s.afterMayHaveRun(now, LinkLost)
 	}
 	return Resume{}
 }
 
-// proven goes on after an attempt that did not run. That is not believed when
-// a part of an answer was delivered.
-func (s *State) proven(now time.Time, cause Cause) Action {
+// afterNotRun decides how to continue after an attempt that is reported not to have
+// run. The report is disregarded if part of a response was delivered.
+func (s *State) afterNotRun(now time.Time, cause Cause) Action {
 	if s.delivered {
-		return s.unproven(now, cause)
+		return s.afterMayHaveRun(now, cause)
 	}
-	s.notRun++
-	if s.notRun > s.cfg.MaxNotRun || s.late(now) {
+	s.notRunCount++
+	if s.notRunCount > s.cfg.MaxNotRun || s.pastDeadline(now) {
 		if s.mayHaveRun {
 			return Finish{Kind: Unknown, Cause: cause}
 		}
 		return Finish{Kind: WasNotRun, Cause: cause}
 	}
-	s.resumes = 0
+	s.resumeCount = 0
 	return Redispatch{}
 }
 
-// unproven goes on after an attempt that may have run.
-func (s *State) unproven(now time.Time, cause Cause) Action {
+// afterMayHaveRun decides how to continue after an attempt that may have run.
+func (s *State) afterMayHaveRun(now time.Time, cause Cause) Action {
 	s.mayHaveRun = true
-	if s.delivered || !s.req.Idempotent || s.repeats >= s.cfg.MaxRepeats || s.late(now) {
+	if s.delivered || !s.req.Idempotent || s.repeatCount >= s.cfg.MaxRepeats || s.pastDeadline(now) {
 		return Finish{Kind: Unknown, Cause: cause}
 	}
-	s.repeats++
-	s.resumes = 0
+	s.repeatCount++
+	s.resumeCount = 0
 	return Redispatch{}
 }
--- a/coordination/attempt/attempt_test.go
+++ b/coordination/attempt/attempt_test.go
@@ -16,9 +16,9 @@
 	return attempt.New(attempt.DefaultConfig(), attempt.Request{Idempotent: idempotent, Deadline: epoch.Add(time.Hour)})
 }
 
-func TestDecisions(t *testing.T) {
+func TestStepDecisions(t *testing.T) {
 	sent := attempt.Lost{Sent: true}
-	begun := attempt.Lost{Sent: true, Delivered: true, Offset: 7}
+	partlyDelivered := attempt.Lost{Sent: true, Delivered: true, Offset: 7}
 	unknown := attempt.Finish{Kind: attempt.Unknown, Cause: attempt.LinkLost}
 	tests := map[string]struct {
 		idempotent bool
@@ -26,16 +26,16 @@
 		want       attempt.Action
 	}{
 		"not sent":                    {false, []attempt.Event{attempt.Lost{}}, attempt.Redispatch{}},
-		"asks first":                  {false, []attempt.Event{sent}, attempt.Settle{}},
+		"queries first":               {false, []attempt.Event{sent}, attempt.Settle{}},
 		"blocked":                     {false, []attempt.Event{sent, attempt.Settled{Fate: attempt.NotRun}}, attempt.Redispatch{}},
-		"running":                     {false, []attempt.Event{begun, attempt.Settled{Fate: attempt.Running}}, attempt.Resume{}},
-		"ended, kept":                 {false, []attempt.Event{begun, attempt.Settled{Fate: attempt.Ended, AnswerKept: true}}, attempt.Resume{}},
+		"running":                     {false, []attempt.Event{partlyDelivered, attempt.Settled{Fate: attempt.Running}}, attempt.Resume{}},
+		"ended, kept":                 {false, []attempt.Event{partlyDelivered, attempt.Settled{Fate: attempt.Ended, AnswerKept: true}}, attempt.Resume{}},
 		"ended, not kept":             {false, []attempt.Event{sent, attempt.Settled{Fate: attempt.Ended}}, attempt.Finish{Cause: attempt.AnswerLost}},
 		"gone, non-idempotent":        {false, []attempt.Event{sent, attempt.Settled{}}, unknown},
 		"gone, idempotent":            {true, []attempt.Event{sent, attempt.Settled{}}, attempt.Redispatch{}},
-		"gone, idempotent, delivered": {true, []attempt.Event{begun, attempt.Settled{}}, unknown},
-		"denied though delivered":     {true, []attempt.Event{begun, attempt.Settled{Fate: attempt.NotRun}}, unknown},
-		"no answer asks again":        {false, []attempt.Event{sent, attempt.NoAnswer{}}, attempt.Settle{After: 100 * time.Millisecond}},
+		"gone, idempotent, delivered": {true, []attempt.Event{partlyDelivered, attempt.Settled{}}, unknown},
+		"not run though delivered":    {true, []attempt.Event{partlyDelivered, attempt.Settled{Fate: attempt.NotRun}}, unknown},
+		"no reply queries again":      {false, []attempt.Event{sent, attempt.NoAnswer{}}, attempt.Settle{After: 100 * time.Millisecond}},
 		"backend server not reached":  {false, []attempt.Event{attempt.BackendNotRun{}}, attempt.Redispatch{}},
 		"backend server broke off":    {false, []attempt.Event{attempt.BackendUnknown{}}, attempt.Finish{Cause: attempt.BackendServer}},
 		"broke off, idempotent":       {true, []attempt.Event{attempt.BackendUnknown{}}, attempt.Redispatch{}},
@@ -52,14 +52,14 @@
 	}
 }
 
-func TestUnreachableSidecarIsGivenUpAfterTheBound(t *testing.T) {
+func TestQueriesOfUnreachableSidecarEndAfterSettleFor(t *testing.T) {
 	s := newState(false)
 	s.Step(epoch, attempt.Lost{Sent: true})
 	got := s.Step(epoch.Add(attempt.DefaultConfig().SettleFor), attempt.NoAnswer{})
 	qt.Assert(t, got, qt.Equals, attempt.Action(attempt.Finish{Kind: attempt.Unknown, Cause: attempt.LinkLost}))
 }
 
-func event(t *rapid.T) attempt.Event {
+func drawEvent(t *rapid.T) attempt.Event {
 	switch rapid.IntRange(0, 4).Draw(t, "event") {
 	case 0:
 		delivered := rapid.Bool().Draw(t, "delivered")
@@ -75,8 +75,8 @@
 	}
 }
 
-// proof tells whether the event proves that the attempt did not run.
-func proof(ev attempt.Event) bool {
+// provesNotRun reports whether the event proves that the attempt did not run.
+func provesNotRun(ev attempt.Event) bool {
 	switch ev := ev.(type) {
 	case attempt.Lost:
 		return !ev.Sent
@@ -88,10 +88,10 @@
 	return false
 }
 
-// Whatever happens in whatever order: a non-idempotent request is dispatched
-// again only on a proof, a delivered one never, and not-run is said only while
-// every attempt is proven not to have run.
-func TestOnlyProofAllowsAnotherRun(t *testing.T) {
+// For any sequence of events: a non-idempotent request is dispatched again only
+// on proof that the attempt did not run, a request with a delivered byte never,
+// and a request ends as not-run only if none of its attempts can have run.
+func TestNonIdempotentRequestIsRedispatchedOnlyOnProof(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		idempotent := rapid.Bool().Draw(t, "idempotent")
 		s := newState(idempotent)
@@ -99,7 +99,7 @@
 		delivered, unproven := false, false
 		for n := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
-			ev := event(t)
+			ev := drawEvent(t)
 			if n == 0 {
 				ev = attempt.Lost{Sent: true}
 			}
@@ -111,14 +111,14 @@
 				if delivered {
 					t.Fatalf("dispatched again after a delivery, on %#v", ev)
 				}
-				if !proof(ev) {
+				if !provesNotRun(ev) {
 					unproven = true
 					if !idempotent {
 						t.Fatalf("non-idempotent request dispatched again on %#v", ev)
 					}
 				}
 			case attempt.Finish:
-				if act.Kind == attempt.WasNotRun && (unproven || !proof(ev)) {
+				if act.Kind == attempt.WasNotRun && (unproven || !provesNotRun(ev)) {
 					t.Fatalf("not-run without proof, on %#v", ev)
 				}
 				return
--- a/coordination/attempt/event.go
+++ b/coordination/attempt/event.go
@@ -5,34 +5,35 @@
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Lost is the stream of an attempt that broke off before its end.
+// Lost reports that the stream of an attempt was interrupted before its end.
 type Lost struct {
-	// Sent is false if the start of the attempt was certainly not sent.
+	// Sent is false only if the start of the attempt was certainly not sent.
 	Sent bool
-	// Delivered tells whether a part of the answer went to the caller.
+	// Delivered reports whether part of the response was sent to the caller.
 	Delivered bool
-	// Offset is the number of answer bytes that went to the caller.
+	// Offset is the number of response bytes that were sent to the caller.
 	Offset int64
 }
 
-// Settled is the sidecar's answer about the attempt.
+// Settled reports the fate of the attempt, as the sidecar returned it.
 type Settled struct {
 	Fate Fate
-	// AnswerKept tells whether the answer of an ended attempt can be resumed.
+	// AnswerKept reports whether the response of an ended attempt can be
+	// resumed.
 	AnswerKept bool
 }
 
-// NoAnswer is a question about the attempt that was not answered.
+// NoAnswer reports that a query for the fate of the attempt got no reply.
 type NoAnswer struct{}
 
-// BackendNotRun is an attempt that ended before anything was written to the
-// backend server.
+// BackendNotRun reports that the attempt ended before anything was written to
+// the backend server.
 type BackendNotRun struct{}
 
-// BackendUnknown is an attempt whose call to the backend server broke off
-// before an answer came.
+// BackendUnknown reports that the call to the backend server was interrupted
+// before a complete response arrived.
 type BackendUnknown struct {
-	// Delivered tells whether a part of the answer went to the caller.
+	// Delivered reports whether part of the response was sent to the caller.
 	Delivered bool
 }
 
@@ -42,31 +43,32 @@
 func (BackendNotRun) isEvent()  {}
 func (BackendUnknown) isEvent() {}
 
-// Fate is what a sidecar says of an attempt.
+// Fate is the state of an attempt, as its sidecar reports it.
 type Fate int
 
 const (
-	// Gone means that nothing can be known: another incarnation serves, or
-	// the sidecar has forgotten.
+	// Gone means that the fate can't be determined: another incarnation of the
+	// sidecar is running, or the sidecar has discarded its record.
 	Gone Fate = iota
-	// NotRun means that the attempt was not run and will not be run.
+	// NotRun means that the attempt did not run and will not run.
 	NotRun
-	// Running means that the attempt runs.
+	// Running means that the attempt is in progress.
 	Running
-	// Ended means that the attempt ran and ended.
+	// Ended means that the attempt ran and has ended.
 	Ended
 )
 
 // Action is an output of State.Step that the driver performs.
 type Action interface{ isAction() }
 
-// Settle asks the incarnation that the attempt was sent to for its fate.
+// Settle queries the fate of the attempt from the incarnation of the sidecar that
+// the attempt was sent to.
 type Settle struct {
-	// After is the pause before the question.
+	// After is the delay before the query.
 	After time.Duration
 }
 
-// Resume attaches to the attempt again from the delivered offset.
+// Resume reattaches to the attempt, from the offset that was delivered.
 type Resume struct{}
 
 // Redispatch queues the request for another attempt.
@@ -78,25 +80,25 @@
 	Cause Cause
 }
 
-// Kind is how a request ends that got no whole answer.
+// Kind is the outcome of a request that got no complete response.
 type Kind int
 
 const (
 	// Unknown means that the request may have run.
 	Unknown Kind = iota
-	// WasNotRun means that every attempt is proven not to have run.
+	// WasNotRun means that provably none of the attempts ran.
 	WasNotRun
 )
 
-// Cause says why.
+// Cause is the reason why a request got no complete response.
 type Cause int
 
 const (
-	// LinkLost is a lost link to the sidecar.
+	// LinkLost is a lost connection to the sidecar.
 	LinkLost Cause = iota
-	// AnswerLost is a run that ended and whose answer is not kept any more.
+	// AnswerLost is an attempt that ended and whose response is no longer kept.
 	AnswerLost
-	// BackendServer is a backend server that gave no answer.
+	// BackendServer is a backend server that returned no complete response.
 	BackendServer
 )
 
