--- a/coordination/lease/config.go
+++ b/coordination/lease/config.go
@@ -1,6 +1,7 @@
-// Package lease decides, at one sidecar, whether it may start new runs: only
-// one of several sidecars that were started for one slot serves, and one that
-// was frozen for longer than its lease does nothing on old knowledge.
+// Package lease decides whether a sidecar may start new runs. Of several
+// sidecars that were started for the same slot only one serves, and a sidecar
+// whose process was suspended for longer than its lease starts nothing until the
+// platform has confirmed its state.
 //
 // The package is a pure state machine: State.Step takes an event and the time
 // and returns the actions to perform. It has no I/O, clock or goroutines. The
@@ -15,30 +16,32 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config holds the times of a lease.
+// Config holds the timing parameters of a lease.
 type Config struct {
-	// TTL after which the lease lapses unless it is renewed. Default 75s.
+	// TTL is the time after which the lease expires unless it is renewed.
+	// Default 75s.
 	TTL time.Duration
 	// RenewEvery is the mean time between renewals. At the default of 25s,
 	// 2,200 sidecars make 88 renewals a second.
 	RenewEvery time.Duration
-	// RetryEvery is the mean time between tries while the platform does not
-	// answer. At the default of 10s, 2,200 sidecars make 220 tries a second
-	// when it comes back.
+	// RetryEvery is the mean time between attempts while the platform does not
+	// respond. At the default of 10s, 2,200 sidecars make 220 calls a second
+	// when it recovers.
 	RetryEvery time.Duration
-	// Jitter is the fraction by which each of these times varies. Default 0.2.
+	// Jitter is the fraction by which RenewEvery and RetryEvery vary at random.
+	// Default 0.2.
 	Jitter float64
-	// Pause is the time without a tick from which on the process counts as
-	// having been frozen. Default 15s.
+	// Pause is the time without a tick after which the process is taken to have
+	// been suspended. Default 15s.
 	Pause time.Duration
-	// Seed of the jitter.
+	// Seed seeds the random source of the jitter.
 	Seed uint64
 }
 
-// DefaultConfig returns the documented defaults.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config { return ForTTL(75 * time.Second) }
 
-// ForTTL returns the defaults in proportion to the TTL.
+// ForTTL returns the default parameters scaled to the TTL.
 func ForTTL(ttl time.Duration) Config {
 	return Config{
 		TTL:        ttl,
@@ -49,7 +52,7 @@
 	}
 }
 
-// Validate returns an error that names each field out of range.
+// Validate returns an error that names each field that is out of range.
 func (c Config) Validate() error {
 	var err error
 	check := func(ok bool, msg string) {
--- a/coordination/lease/event.go
+++ b/coordination/lease/event.go
@@ -5,28 +5,29 @@
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Ticked lets time pass. It must come much more often than Config.Pause.
+// Ticked reports the current time. The interval between ticks must be much
+// shorter than Config.Pause.
 type Ticked struct{}
 
-// Acquired is a slot that was taken with a lease.
+// Acquired reports that the slot was acquired with a lease.
 type Acquired struct {
-	// Sent is when the lease was asked for.
+	// Sent is when the request for the lease was sent.
 	Sent time.Time
 }
 
-// Renewed is a lease that was renewed.
+// Renewed reports that the lease was renewed.
 type Renewed struct {
-	// Sent is when the renewal was asked for.
+	// Sent is when the renewal was sent.
 	Sent time.Time
 }
 
-// Lapsed is a lease that the platform does not know any more.
+// Lapsed reports that the platform no longer has the lease.
 type Lapsed struct{}
 
-// Conflict is a slot that another process holds.
+// Conflict reports that another process holds the slot.
 type Conflict struct{}
 
-// NoAnswer is a call that the platform did not answer.
+// NoAnswer reports that the platform did not respond to a call.
 type NoAnswer struct{}
 
 func (Ticked) isEvent()   {}
@@ -36,19 +37,21 @@
 func (Conflict) isEvent() {}
 func (NoAnswer) isEvent() {}
 
-// Action is an output of State.Step that the driver performs. It answers each
-// with one event other than Ticked.
+// Action is an output of State.Step that the driver performs. The driver reports
+// the result of each action as one event other than Ticked.
 type Action interface{ isAction() }
 
 // Renew renews the lease.
 type Renew struct {
-	// Verify asks to read back that the slot is still this process's own.
+	// Verify requests a read that confirms that this process still holds the
+	// slot.
 	Verify bool
 }
 
-// Acquire takes the slot if nobody holds it.
+// Acquire acquires the slot if no process holds it.
 type Acquire struct {
-	// Fresh asks for a new incarnation, since what this process knows is old.
+	// Fresh requests a new incarnation, because the state of this process is
+	// stale.
 	Fresh bool
 }
 
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -13,8 +13,8 @@
 
 func at(d time.Duration) time.Time { return epoch.Add(d) }
 
-// held returns a state that acquired its lease at the epoch.
-func held(c *qt.C) *lease.State {
+// acquiredState returns a state that acquired its lease at the epoch.
+func acquiredState(c *qt.C) *lease.State {
 	s := lease.New(lease.DefaultConfig())
 	c.Assert(s.MayStart(epoch), qt.IsFalse)
 	c.Assert(s.Step(epoch, lease.Ticked{}), qt.Equals, lease.Action(lease.Acquire{}))
@@ -23,9 +23,9 @@
 	return s
 }
 
-// awake ticks every second from a time to another and answers each call with
-// the event. It returns the number of calls.
-func awake(s *lease.State, from, to time.Duration, answer lease.Event) int {
+// tickEverySecond ticks every second between two times and reports the event as
+// the result of each call. It returns the number of calls.
+func tickEverySecond(s *lease.State, from, to time.Duration, answer lease.Event) int {
 	calls := 0
 	for d := from; d <= to; d += time.Second {
 		if s.Step(at(d), lease.Ticked{}) != nil {
@@ -36,39 +36,40 @@
 	return calls
 }
 
-func TestFrozenLongerThanTheLeaseStartsNothing(t *testing.T) {
+func TestSuspensionPastLeaseStartsNoRun(t *testing.T) {
 	c := qt.New(t)
-	s := held(c)
-	wake := 80 * time.Second
-	c.Assert(s.MayStart(at(wake)), qt.IsFalse) // before any tick
-	c.Assert(s.Step(at(wake), lease.Ticked{}), qt.Equals, lease.Action(lease.Renew{Verify: true}))
-	c.Assert(s.MayStart(at(wake)), qt.IsFalse)
-	s.Step(at(wake), lease.Lapsed{})
-	c.Assert(s.Step(at(wake+time.Second), lease.Ticked{}), qt.Equals, lease.Action(lease.Acquire{Fresh: true}))
-	c.Assert(s.MayStart(at(wake+time.Second)), qt.IsFalse)
-	s.Step(at(wake+time.Second), lease.Conflict{})
+	s := acquiredState(c)
+	resumed := 80 * time.Second
+	c.Assert(s.MayStart(at(resumed)), qt.IsFalse) // before any tick
+	c.Assert(s.Step(at(resumed), lease.Ticked{}), qt.Equals, lease.Action(lease.Renew{Verify: true}))
+	c.Assert(s.MayStart(at(resumed)), qt.IsFalse)
+	s.Step(at(resumed), lease.Lapsed{})
+	c.Assert(s.Step(at(resumed+time.Second), lease.Ticked{}), qt.Equals, lease.Action(lease.Acquire{Fresh: true}))
+	c.Assert(s.MayStart(at(resumed+time.Second)), qt.IsFalse)
+	s.Step(at(resumed+time.Second), lease.Conflict{})
 	c.Assert(s.Phase(), qt.Equals, lease.Standby)
-	c.Assert(s.MayStart(at(wake+time.Second)), qt.IsFalse)
+	c.Assert(s.MayStart(at(resumed+time.Second)), qt.IsFalse)
 }
 
-func TestFrozenWithinTheLeaseGoesOn(t *testing.T) {
-	s := held(qt.New(t))
+func TestSuspensionWithinLeaseContinues(t *testing.T) {
+	s := acquiredState(qt.New(t))
 	qt.Assert(t, s.MayStart(at(70*time.Second)), qt.IsTrue)
 }
 
-func TestRenewalAfterTheFreezeServesAgain(t *testing.T) {
+func TestRenewalAfterSuspensionResumesServing(t *testing.T) {
 	c := qt.New(t)
-	s := held(c)
+	s := acquiredState(c)
 	s.Step(at(100*time.Second), lease.Ticked{})
 	s.Step(at(100*time.Second), lease.Renewed{Sent: at(100 * time.Second)})
 	c.Assert(s.MayStart(at(100*time.Second)), qt.IsTrue)
 }
 
-// An answer that was asked for before the freeze proves nothing after it.
-func TestOldAnswerProvesNothing(t *testing.T) {
+// Guards against accepting a renewal after a suspension if it was sent before it:
+// another process may have acquired the slot since.
+func TestRenewalSentBeforeSuspensionIsDisregarded(t *testing.T) {
 	c := qt.New(t)
-	s := held(c)
-	c.Assert(awake(s, time.Second, 31*time.Second, nil), qt.Equals, 1) // renewal sent, no event
+	s := acquiredState(c)
+	c.Assert(tickEverySecond(s, time.Second, 31*time.Second, nil), qt.Equals, 1) // renewal sent, no event
 	s.Step(at(200*time.Second), lease.Ticked{})
 	s.Step(at(200*time.Second), lease.Renewed{Sent: at(31 * time.Second)})
 	c.Assert(s.MayStart(at(200*time.Second)), qt.IsFalse)
@@ -76,17 +77,17 @@
 
 func TestPlatformOutageDoesNotStopServing(t *testing.T) {
 	c := qt.New(t)
-	s := held(c)
-	calls := awake(s, time.Second, 600*time.Second, lease.NoAnswer{})
+	s := acquiredState(c)
+	calls := tickEverySecond(s, time.Second, 600*time.Second, lease.NoAnswer{})
 	c.Assert(s.MayStart(at(600*time.Second)), qt.IsTrue)
 	c.Assert(calls >= 40 && calls <= 80, qt.IsTrue, qt.Commentf("%d calls", calls))
-	// The lease has lapsed meanwhile: it is taken again, as the same
-	// incarnation, since the process was awake all the time.
-	awake(s, 601*time.Second, 620*time.Second, lease.Lapsed{})
+	// The lease has expired meanwhile. It is acquired again as the same
+	// incarnation, because the process was never suspended.
+	tickEverySecond(s, 601*time.Second, 620*time.Second, lease.Lapsed{})
 	c.Assert(s.Step(at(621*time.Second), lease.Ticked{}), qt.Equals, lease.Action(lease.Acquire{}))
 }
 
-func TestColdStartWithoutThePlatformServes(t *testing.T) {
+func TestColdStartDuringPlatformOutageServes(t *testing.T) {
 	c := qt.New(t)
 	s := lease.New(lease.DefaultConfig())
 	s.Step(epoch, lease.Ticked{})
@@ -95,19 +96,19 @@
 	c.Assert(s.MayStart(epoch), qt.IsTrue)
 }
 
-func TestSecondSidecarStandsBy(t *testing.T) {
+func TestSecondSidecarIsStandby(t *testing.T) {
 	c := qt.New(t)
 	s := lease.New(lease.DefaultConfig())
 	s.Step(epoch, lease.Ticked{})
 	s.Step(epoch, lease.Conflict{})
 	c.Assert(s.MayStart(epoch), qt.IsFalse)
-	// While it stands by, an outage does not make it serve.
-	awake(s, time.Second, 300*time.Second, lease.NoAnswer{})
+	// An outage of the platform does not make a standby serve.
+	tickEverySecond(s, time.Second, 300*time.Second, lease.NoAnswer{})
 	c.Assert(s.MayStart(at(300*time.Second)), qt.IsFalse)
 }
 
-func TestRenewalsStayWithinTheWriteBudget(t *testing.T) {
-	s := held(qt.New(t))
+func TestRenewalsStayWithinWriteBudget(t *testing.T) {
+	s := acquiredState(qt.New(t))
 	calls := 0
 	for d := time.Second; d <= 3000*time.Second; d += time.Second {
 		if s.Step(at(d), lease.Ticked{}) != nil {
