--- a/coordination/completeness/completeness.go
+++ b/coordination/completeness/completeness.go
@@ -1,21 +1,21 @@
-// Package completeness decides whether the answer of a backend server is whole. It is whole
-// only if something says so: that nothing failed while it was read is no proof.
+// Package completeness decides whether a response of a backend server is complete. It is
+// complete only if there is positive evidence: reading it without an error is not enough.
 //
-// It is pure. Direct routers and sidecars use it.
+// The package does no I/O. Direct routers and sidecars use it.
 package completeness
 
-// Framing is how an answer tells where its body ends.
+// Framing is how a response delimits its body.
 type Framing int
 
 // Framings of HTTP/1.1.
 const (
-	// NoBody is an answer that has none, by its method or status.
+	// NoBody is a response without a body, by its method or status.
 	NoBody Framing = iota
-	// Length is a body of an announced length.
+	// Length is a body with a Content-Length.
 	Length
-	// Chunks is a body in chunks, the last of which is empty.
+	// Chunks is a body in chunked transfer coding, which ends with an empty chunk.
 	Chunks
-	// Connection is a body that ends with its connection.
+	// Connection is a body that ends when its connection is closed.
 	Connection
 )
 
@@ -24,20 +24,19 @@
 	return [...]string{"none", "length", "chunks", "connection"}[f]
 }
 
-// End is how the reading of an answer ended.
+// End is how reading a response ended.
 type End int
 
-// Ends.
 const (
-	// Marked: the framing marked the end of the body.
+	// Marked means that the framing marked the end of the body.
 	Marked End = iota
-	// Closed: the connection was closed in good order.
+	// Closed means that the connection was closed cleanly (FIN).
 	Closed
-	// Reset: the connection was reset, or the way to the server was lost.
+	// Reset means that the connection was reset or the server became unreachable.
 	Reset
-	// Invalid: bytes came that are no answer.
+	// Invalid means that the received bytes are not a valid response.
 	Invalid
-	// GivenUp: whoever read it gave it up before its end.
+	// GivenUp means that the reader abandoned the response before its end.
 	GivenUp
 )
 
@@ -46,37 +45,37 @@
 	return [...]string{"marked", "closed", "reset", "invalid", "given-up"}[e]
 }
 
-// Answer is what is known of an answer at its end.
+// Answer describes a response at its end.
 type Answer struct {
 	Framing Framing
 	End     End
-	// IsStream tells that the body is a stream of events.
+	// IsStream reports whether the body is an event stream.
 	IsStream bool
-	// Events is the number of whole events.
+	// Events is the number of complete events.
 	Events int
-	// IsInside tells that the body ended inside an event.
+	// IsInside reports whether the body ended inside an event.
 	IsInside bool
-	// Continues tells that the stream goes on where another one broke off.
+	// Continues reports whether the stream continues an interrupted one.
 	Continues bool
 }
 
-// Verdict is what the end of an answer means.
+// Verdict is the decision about the completeness of a response.
 type Verdict int
 
-// Verdicts.
 const (
-	// Whole: something says that the answer is whole.
+	// Whole means that the response is complete.
 	Whole Verdict = iota
-	// Broken: something says that it is not.
+	// Broken means that the response is incomplete.
 	Broken
-	// Unmarked: nothing says either. The server is to be asked whether it is alive.
+	// Unmarked means that the response alone does not tell. The caller must check whether
+	// the server is still alive and pass the result to Settle.
 	Unmarked
 )
 
 // String implements fmt.Stringer.
 func (v Verdict) String() string { return [...]string{"whole", "broken", "unmarked"}[v] }
 
-// Judge decides what the end of the answer means.
+// Judge decides whether the response is complete.
 func Judge(a Answer) Verdict {
 	switch {
 	case a.End == Reset || a.End == Invalid || a.End == GivenUp:
@@ -86,7 +85,7 @@
 	case a.IsStream && a.IsInside:
 		return Broken
 	case a.IsStream && a.Continues && a.Events == 0:
-		// More was to come, and nothing says that there is nothing more.
+		// The interrupted stream was incomplete, so an empty continuation doesn't complete it.
 		return Broken
 	case a.Framing != Connection:
 		return Whole
@@ -97,23 +96,23 @@
 	}
 }
 
-// Sign is what the server shows right after the end of an answer.
+// Sign is the observed state of the server right after the end of a response.
 type Sign int
 
-// Signs.
 const (
-	// Silent: nothing that tells. A server that is known to leave shows nothing else.
+	// Silent means that the server's state is unknown. For a server that is known to be
+	// shutting down it is always Silent, because refused connections are expected of it.
 	Silent Sign = iota
-	// Takes: it takes connections.
+	// Takes means that the server accepts connections.
 	Takes
-	// Refuses: it takes none, though it is not known to leave.
+	// Refuses means that the server refuses connections and is not known to be shutting down.
 	Refuses
 )
 
 // String implements fmt.Stringer.
 func (s Sign) String() string { return [...]string{"", "takes", "refuses"}[s] }
 
-// Settle decides on an unmarked end by what the server shows right after it.
+// Settle resolves an Unmarked verdict by the state of the server right after the response.
 func (v Verdict) Settle(s Sign) Verdict {
 	switch {
 	case v != Unmarked:
--- a/coordination/completeness/completeness_test.go
+++ b/coordination/completeness/completeness_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// What an end means by framing and place: the end of a connection is not the end of a message.
-func TestAnAnswerIsWholeOnlyIfSomethingSaysSo(t *testing.T) {
+// Guards against taking the end of the connection for the end of the message: the verdict
+// depends on the framing and on where in the stream the response ended.
+func TestJudgeRequiresEvidenceOfCompleteness(t *testing.T) {
 	for name, tc := range map[string]struct {
 		answer Answer
 		want   Verdict
@@ -36,8 +37,9 @@
 	}
 }
 
-// A server that crashed closes its connections in good order, too: it shows by taking no more.
-func TestAnUnmarkedEndIsSettledByTheServer(t *testing.T) {
+// The kernel closes the connections of a crashed server cleanly, too. The crash shows only in
+// that the server refuses new connections.
+func TestUnmarkedEndIsSettledByServerState(t *testing.T) {
 	qt.Check(t, Unmarked.Settle(Refuses), qt.Equals, Broken)
 	qt.Check(t, Unmarked.Settle(Takes), qt.Equals, Whole)
 	qt.Check(t, Unmarked.Settle(Silent), qt.Equals, Whole)
@@ -45,9 +47,9 @@
 	qt.Check(t, Broken.Settle(Takes), qt.Equals, Broken)
 }
 
-// Whatever comes together: a reset, an end before the mark and a piece of an event are never
-// whole, and what is said to be whole was marked.
-func TestNoBrokenAnswerIsWhole(t *testing.T) {
+// For any response: a reset, an end before the end mark and a partial event are never complete,
+// and a response that is judged complete had an end mark.
+func TestIncompleteAnswerIsNeverWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := Answer{
 			Framing: Framing(rapid.IntRange(0, int(Connection)).Draw(t, "framing")), End: End(rapid.IntRange(0, int(GivenUp)).Draw(t, "end")),
