--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -1,10 +1,12 @@
-// Package health decides whether one backend server is an outlier: whether it
-// fails so often that it gets no work but probes.
+// Package health implements outlier detection for one backend server: a server
+// that fails too often is ejected and receives only probe requests until enough
+// of them succeed.
 //
-// A Tracker is pure: it takes results and the time, and holds no clock. The
-// routers use it (coordination/dispatch) and the sidecars (transport/sidecar).
+// A Tracker does no I/O and reads no clock: the caller passes results and times
+// to it.
 //
-// All three use it: direct routers, routers with sidecars, and sidecars.
+// Direct routers, routers with sidecars (coordination/dispatch) and sidecars
+// (transport/sidecar) use it.
 package health
 
 import (
@@ -13,27 +15,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config holds the thresholds of a Tracker.
+// Config holds the parameters of a Tracker.
 type Config struct {
-	// Consecutive failures that make a server suspect, in requests.
-	// Default 5.
+	// Consecutive is the number of consecutive failed requests that makes a
+	// server suspect. Default 5.
 	Consecutive int
-	// Rate of failures that makes a server suspect, from 0 to 1. Default 0.5.
+	// Rate is the fraction of failed requests that makes a server suspect, from
+	// 0 to 1. Default 0.5.
 	Rate float64
-	// Window is the number of results that the rate covers, in requests.
-	// Default 20.
+	// Window is the number of requests that the failure rate covers, roughly:
+	// the counts decay exponentially. Default 20.
 	Window int
-	// FirstPause is the time from an ejection to the first probe. It doubles
-	// with each failed probe. Default 1s.
+	// FirstPause is the delay from an ejection to the first probe request. The
+	// delay doubles with each failed probe. Default 1s.
 	FirstPause time.Duration
-	// LongestPause bounds the time between probes. Default 10s.
+	// LongestPause bounds the delay between probe requests. Default 10s.
 	LongestPause time.Duration
-	// Successes is the number of probes in a row that re-admit a server.
-	// Default 3.
+	// Successes is the number of consecutive successful probe requests after
+	// which a server is readmitted. Default 3.
 	Successes int
 }
 
-// DefaultConfig returns the documented defaults.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
 		Consecutive:  5,
@@ -45,12 +48,12 @@
 	}
 }
 
-// Validate returns an error that names each field out of range.
+// Validate returns an error that names each field that is out of range.
 func (c Config) Validate() error {
 	var err error
-	check := func(ok bool, what string) {
+	check := func(ok bool, msg string) {
 		if !ok {
-			err = errors.CombineErrors(err, errors.New(what))
+			err = errors.CombineErrors(err, errors.New(msg))
 		}
 	}
 	check(c.Consecutive > 0, "Consecutive must be positive")
@@ -62,63 +65,64 @@
 	return err
 }
 
-// Result is how a request ended at the server.
+// Result is the outcome of a request at the server.
 type Result int
 
-// Results of a request.
 const (
-	// NoResult says nothing about the server, such as a cancelled request.
+	// NoResult is an outcome that says nothing about the server's health, such
+	// as a cancelled request.
 	NoResult Result = iota
-	// Success is an answer that the server gave.
+	// Success is a response without a server error.
 	Success
-	// Failure is an error of the server.
+	// Failure is an error caused by the server.
 	Failure
-	// Unreachable means that no connection to the server could be opened; one
-	// such result makes it suspect.
+	// Unreachable means that no connection to the server could be opened. A
+	// single such result makes the server suspect.
 	Unreachable
 )
 
-// Tracker follows the results of one server. It must be used by one goroutine
-// at a time.
+// Tracker tracks the health of one server. It must not be used concurrently.
 type Tracker struct {
-	cfg         Config
-	consecutive int
-	// failures and results are decayed counts over about Window results.
+	cfg                 Config
+	consecutiveFailures int
+	// failures and results are exponentially decayed counts over about Window
+	// results.
 	failures float64
 	results  float64
 
-	ejected   bool
-	probing   bool
-	pause     time.Duration
-	nextProbe time.Time
-	successes int
+	ejected        bool
+	probing        bool
+	probeDelay     time.Duration
+	nextProbe      time.Time
+	probeSuccesses int
 }
 
-// New returns the tracker of a healthy server. The config must be valid.
+// New returns a tracker of a healthy server. The config must be valid.
 func New(cfg Config) *Tracker { return &Tracker{cfg: cfg} }
 
-// Record counts the result of a request that was not a probe. Results of
-// requests from before an ejection do not count.
+// Record counts the result of a request that is not a probe. Results that arrive
+// while the server is ejected are ignored: they belong to requests that were sent
+// before the ejection.
 func (t *Tracker) Record(r Result) {
 	if r == NoResult || t.ejected {
 		return
 	}
-	keep := 1 - 1/float64(t.cfg.Window)
-	t.results = t.results*keep + 1
-	t.failures *= keep
+	decay := 1 - 1/float64(t.cfg.Window)
+	t.results = t.results*decay + 1
+	t.failures *= decay
 	if r == Success {
-		t.consecutive = 0
+		t.consecutiveFailures = 0
 		return
 	}
-	t.consecutive++
+	t.consecutiveFailures++
 	t.failures++
 	if r == Unreachable {
-		t.consecutive = max(t.consecutive, t.cfg.Consecutive)
+		t.consecutiveFailures = max(t.consecutiveFailures, t.cfg.Consecutive)
 	}
 }
 
-// Rate returns the fraction of failures among the last results and whether
-// there were enough of them to judge.
+// Rate returns the fraction of failures among the latest results, and whether
+// there are enough results for it to be significant.
 func (t *Tracker) Rate() (float64, bool) {
 	if t.results == 0 {
 		return 0, false
@@ -132,38 +136,40 @@
 		return false
 	}
 	rate, enough := t.Rate()
-	return t.consecutive >= t.cfg.Consecutive || (enough && rate >= t.cfg.Rate)
+	return t.consecutiveFailures >= t.cfg.Consecutive || (enough && rate >= t.cfg.Rate)
 }
 
-// Eject takes the server out; the first probe is due after FirstPause.
+// Eject ejects the server. The first probe request is due after FirstPause.
 func (t *Tracker) Eject(now time.Time) {
-	t.ejected, t.probing, t.successes = true, false, 0
-	t.pause = t.cfg.FirstPause
-	t.nextProbe = now.Add(t.pause)
+	t.ejected, t.probing, t.probeSuccesses = true, false, 0
+	t.probeDelay = t.cfg.FirstPause
+	t.nextProbe = now.Add(t.probeDelay)
 }
 
-// Ejected reports whether the server is out.
+// Ejected reports whether the server is ejected.
 func (t *Tracker) Ejected() bool { return t.ejected }
 
-// Probing reports whether a probe is under way.
+// Probing reports whether a probe request is in flight.
 func (t *Tracker) Probing() bool { return t.probing }
 
-// ProbeDue reports whether a probe may be sent: one at a time.
+// ProbeDue reports whether a probe request may be sent. At most one is in flight
+// at a time.
 func (t *Tracker) ProbeDue(now time.Time) bool {
 	return t.ejected && !t.probing && !now.Before(t.nextProbe)
 }
 
-// ProbeOverdue reports whether a probe was due for as long as the pause before
-// it, and none was sent.
+// ProbeOverdue reports whether a probe request has been due for at least the
+// length of the delay before it.
 func (t *Tracker) ProbeOverdue(now time.Time) bool {
-	return t.ProbeDue(now) && !now.Before(t.nextProbe.Add(t.pause))
+	return t.ProbeDue(now) && !now.Before(t.nextProbe.Add(t.probeDelay))
 }
 
-// ProbeSent marks a probe as under way.
+// ProbeSent records that a probe request was sent.
 func (t *Tracker) ProbeSent() { t.probing = true }
 
-// ProbeEnded takes the probe's result. Enough successes in a row re-admit the
-// server; a failure doubles the pause.
+// ProbeEnded records the result of the probe request. After Config.Successes
+// consecutive successes the server is readmitted; a failure doubles the delay
+// before the next probe.
 func (t *Tracker) ProbeEnded(now time.Time, r Result) {
 	if !t.probing {
 		return
@@ -171,13 +177,13 @@
 	t.probing = false
 	switch r {
 	case Success:
-		t.successes++
-		if t.successes >= t.cfg.Successes {
+		t.probeSuccesses++
+		if t.probeSuccesses >= t.cfg.Successes {
 			*t = Tracker{cfg: t.cfg}
 		}
 	case Failure, Unreachable:
-		t.successes = 0
-		t.pause = min(2*t.pause, t.cfg.LongestPause)
-		t.nextProbe = now.Add(t.pause)
+		t.probeSuccesses = 0
+		t.probeDelay = min(2*t.probeDelay, t.cfg.LongestPause)
+		t.nextProbe = now.Add(t.probeDelay)
 	}
 }
--- a/coordination/health/health_test.go
+++ b/coordination/health/health_test.go
@@ -12,7 +12,7 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-func TestSuspect(t *testing.T) {
+func TestSuspectThresholds(t *testing.T) {
 	const ok, bad, none = health.Success, health.Failure, health.NoResult
 	for name, test := range map[string]struct {
 		results []health.Result
@@ -36,31 +36,32 @@
 	}
 }
 
-func TestConfigNamesWhatIsOutOfRange(t *testing.T) {
+func TestValidateNamesFieldOutOfRange(t *testing.T) {
 	qt.Assert(t, health.DefaultConfig().Validate(), qt.IsNil)
 	bad := health.DefaultConfig()
 	bad.Successes = 0
 	qt.Assert(t, bad.Validate(), qt.ErrorMatches, "Successes must be positive")
 }
 
-// Whatever the results: probes go one at a time, never more often than the
-// pause, and only that many successes in a row re-admit.
-func TestProbesAreOneAtATimeAndSpaced(t *testing.T) {
+// For any sequence of results: one probe is in flight at a time, probes are at
+// least the current delay apart, and only the configured number of consecutive
+// successes readmits the server.
+func TestProbesAreSequentialAndSpaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := health.DefaultConfig()
 		h := health.New(cfg)
-		now, blocked, streak := epoch, epoch.Add(cfg.FirstPause), 0
+		now, nextProbe, streak := epoch, epoch.Add(cfg.FirstPause), 0
 		pause := cfg.FirstPause
 		h.Eject(now)
 		for range 60 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 			if !h.ProbeDue(now) {
-				if !now.Before(blocked) {
-					t.Fatalf("no probe at %v though the pause ended at %v", now, blocked)
+				if !now.Before(nextProbe) {
+					t.Fatalf("no probe at %v though the pause ended at %v", now, nextProbe)
 				}
 				continue
 			}
-			if now.Before(blocked) {
+			if now.Before(nextProbe) {
 				t.Fatalf("probe before the pause of %v ended", pause)
 			}
 			h.ProbeSent()
@@ -75,7 +76,7 @@
 			case health.Failure:
 				streak = 0
 				pause = min(2*pause, cfg.LongestPause)
-				blocked = now.Add(pause)
+				nextProbe = now.Add(pause)
 			}
 			if h.Ejected() != (streak < cfg.Successes) {
 				t.Fatalf("ejected %v after %d successes in a row", h.Ejected(), streak)
@@ -87,7 +88,7 @@
 	})
 }
 
-func TestAServerThatCannotBeReachedIsSuspectAtOnce(t *testing.T) {
+func TestUnreachableServerIsSuspectImmediately(t *testing.T) {
 	tr, now := health.New(health.DefaultConfig()), time.Unix(1000, 0)
 	tr.Record(health.Success)
 	tr.Record(health.Unreachable)
