--- a/coordination/backoff/backoff.go
+++ b/coordination/backoff/backoff.go
@@ -1,13 +1,13 @@
-// Package backoff decides when a backend server that turned a request away, and said
-// for how long it wants none, gets requests again.
+// Package backoff decides when a backend server that rejected a request and requested a
+// back-off receives requests again.
 //
-// The pattern that it answers: servers under pressure turn everything away for some
-// seconds and look idle meanwhile, so that routers which send where least waits ask
-// just them, again and again. A server gets nothing in the time that it asked for. Then
-// one request of each router tries it; the others follow when it was taken.
+// Overloaded servers reject all requests for some seconds and look idle meanwhile, so
+// that routers that send to the least loaded server would keep choosing them. A server
+// therefore receives nothing for the back-off that it requested. After it, each router
+// sends one probe request, and the others follow once the server has accepted it.
 //
-// A Server is pure: it takes what it said and the time, and must be used by one
-// goroutine at a time. Direct routers use it.
+// A Server does no I/O and reads no clock, and must not be used concurrently. Direct
+// routers use it.
 package backoff
 
 import (
@@ -16,22 +16,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config holds the times of a Server.
+// Config holds the timing parameters of a Server.
 type Config struct {
-	// Longest is the longest time that a server is believed to want no requests. One
-	// that means more says so again to the one request that tries it. Default 1m.
+	// Longest bounds the back-off that a server can request. A server that needs a
+	// longer one can reject the probe request and so request another. Default 1m.
 	Longest time.Duration
-	// TrialTime is for how long a request that tries the server holds back others
-	// while nothing is heard of it. Default 500ms: a long prompt's first token.
+	// TrialTime is the time for which a probe request without a result keeps other
+	// requests from being sent. Default 500ms: the time to the first token of a long
+	// prompt.
 	TrialTime time.Duration
 }
 
-// DefaultConfig returns the documented defaults.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{Longest: time.Minute, TrialTime: 500 * time.Millisecond}
 }
 
-// Validate returns an error that names each field out of range.
+// Validate returns an error that names each field that is out of range.
 func (c Config) Validate() error {
 	var err error
 	if c.Longest <= 0 {
@@ -43,92 +44,95 @@
 	return err
 }
 
-// Server is what one incarnation of a server asked this router for. The zero value is
-// one that never asked.
+// Server is the back-off state of one incarnation of a server at this router. The zero
+// value is a server that never requested a back-off.
 type Server struct {
-	// until is the end of the time without requests; zero: it never asked, or took a
-	// request since.
-	until time.Time
-	// since is when it asked first, and asked when last; times counts both and
-	// those between.
-	since, asked time.Time
-	times        int
-	// trialUntil is until when a request that tries it holds back others.
-	trialUntil time.Time
+	// end is the end of the back-off, zero if none was requested since the server
+	// last accepted a request.
+	end time.Time
+	// firstRequest and lastRequest are the times of the first and the latest back-off request of
+	// the present series; requestCount is the length of the series.
+	firstRequest, lastRequest time.Time
+	requestCount              int
+	// probeUntil is the time until which the probe request keeps others from being
+	// sent.
+	probeUntil time.Time
 }
 
-// Asked notes that the server turned a request away and wants none for the time.
-// Requests that were on their way may ask again, for less: the latest end counts. It
-// reports whether the server began to ask.
-func (s *Server) Asked(now time.Time, after time.Duration, cfg Config) (began bool) {
-	began = !s.Asking()
-	if began {
-		s.since, s.times = now, 0
+// Asked records that the server rejected a request and requested a back-off of the given
+// length. Requests that were in flight may be rejected later with a shorter back-off, so
+// the latest end counts. It reports whether this starts a new series of back-offs.
+func (s *Server) Asked(now time.Time, delay time.Duration, cfg Config) (started bool) {
+	started = !s.Asking()
+	if started {
+		s.firstRequest, s.requestCount = now, 0
 	}
-	s.asked, s.trialUntil = now, time.Time{}
-	s.times++
-	if end := now.Add(min(after, cfg.Longest)); end.After(s.until) {
-		s.until = end
+	s.lastRequest, s.probeUntil = now, time.Time{}
+	s.requestCount++
+	if end := now.Add(min(delay, cfg.Longest)); end.After(s.end) {
+		s.end = end
 	}
-	return began
+	return started
 }
 
-// Wait returns for how long the server gets nothing from this router; 0: it may get a
-// request now.
+// Wait returns the time until this router may send the server a request, 0 if it may
+// send one now.
 func (s *Server) Wait(now time.Time) time.Duration {
 	switch {
-	case s.until.IsZero():
+	case s.end.IsZero():
 		return 0
-	case now.Before(s.until):
-		return s.until.Sub(now)
-	case now.Before(s.trialUntil):
-		return s.trialUntil.Sub(now)
+	case now.Before(s.end):
+		return s.end.Sub(now)
+	case now.Before(s.probeUntil):
+		return s.probeUntil.Sub(now)
 	default:
 		return 0
 	}
 }
 
-// Accepts reports whether the time in which the server wants no requests is over.
-// Unlike Wait it holds for the request that tries the server, too.
-func (s *Server) Accepts(now time.Time) bool { return !now.Before(s.until) }
+// Accepts reports whether the back-off that the server requested is over. Unlike Wait,
+// it disregards a probe request that is in flight.
+func (s *Server) Accepts(now time.Time) bool { return !now.Before(s.end) }
 
-// Asking reports whether the server asked and has taken no request since.
-func (s *Server) Asking() bool { return !s.until.IsZero() }
+// Asking reports whether the server requested a back-off and has accepted no request
+// since.
+func (s *Server) Asking() bool { return !s.end.IsZero() }
 
-// Send notes that a request goes to the server. It reports whether that one tries it
-// after a time without requests.
-func (s *Server) Send(now time.Time, cfg Config) (trial bool) {
+// Send records that a request is sent to the server. It reports whether that request is
+// the probe after a back-off.
+func (s *Server) Send(now time.Time, cfg Config) (probe bool) {
 	if !s.Asking() {
 		return false
 	}
-	s.trialUntil = now.Add(cfg.TrialTime)
+	s.probeUntil = now.Add(cfg.TrialTime)
 	return true
 }
 
-// Taken notes that the server took the request that tried it, so that all may follow,
-// and reports whether they may: another request may have been turned away since.
+// Taken records that the server accepted the probe request, and reports whether this ends
+// the back-off. It doesn't if another request was rejected since.
 func (s *Server) Taken(now time.Time) (ended bool) {
 	if !s.Asking() || !s.Accepts(now) {
 		return false
 	}
-	s.until, s.trialUntil = time.Time{}, time.Time{}
+	s.end, s.probeUntil = time.Time{}, time.Time{}
 	return true
 }
 
-// Ended notes that the request that tried the server ended without a word of it:
-// another one may try.
-func (s *Server) Ended() { s.trialUntil = time.Time{} }
+// Ended records that the probe request ended without a response from the server, so that
+// another probe may be sent.
+func (s *Server) Ended() { s.probeUntil = time.Time{} }
 
-// Age returns how long ago the server asked last, or -1ms if it never did or took a
-// request since.
+// Age returns the time since the latest back-off request, or -1ms if the server requested
+// none since it last accepted a request.
 func (s *Server) Age(now time.Time) time.Duration {
 	if !s.Asking() {
 		return -time.Millisecond
 	}
-	return now.Sub(s.asked)
+	return now.Sub(s.lastRequest)
 }
 
-// Series tells for how long the server has been asking, and how often it did.
-func (s *Server) Series(now time.Time) (lasted time.Duration, times int) {
-	return now.Sub(s.since), s.times
+// Series returns the time since the first back-off request of the series and the number
+// of requests in it.
+func (s *Server) Series(now time.Time) (duration time.Duration, count int) {
+	return now.Sub(s.firstRequest), s.requestCount
 }
--- a/coordination/backoff/backoff_test.go
+++ b/coordination/backoff/backoff_test.go
@@ -12,7 +12,7 @@
 
 func after(d time.Duration) time.Time { return start.Add(d) }
 
-func TestNothingIsSentInTheTime(t *testing.T) {
+func TestNothingIsSentDuringBackoff(t *testing.T) {
 	cfg := DefaultConfig()
 	var s Server
 	qt.Check(t, s.Wait(start), qt.Equals, time.Duration(0))
@@ -24,9 +24,9 @@
 	qt.Check(t, s.Age(after(time.Second)), qt.Equals, time.Second)
 }
 
-// Two requests were on their way: the one that asks for less does not shorten the time,
-// and the one that asks for more makes it longer.
-func TestTheLatestEndCounts(t *testing.T) {
+// Two requests in flight are rejected one after the other: a shorter back-off doesn't
+// shorten the present one, a longer one extends it.
+func TestLatestBackoffEndCounts(t *testing.T) {
 	cfg := DefaultConfig()
 	var s Server
 	s.Asked(start, 3*time.Second, cfg)
@@ -36,9 +36,9 @@
 	qt.Check(t, s.Wait(after(time.Second)), qt.Equals, 4*time.Second)
 }
 
-// At the end one request tries the server; the others follow when it was taken, or
-// when nothing is heard of it.
-func TestOneRequestTriesTheServer(t *testing.T) {
+// After the back-off one probe request is sent. The others follow when the server has
+// accepted it, or when it has no result for the probe time.
+func TestOneProbeAfterBackoff(t *testing.T) {
 	cfg := DefaultConfig()
 	var s Server
 	s.Asked(start, time.Second, cfg)
@@ -52,13 +52,13 @@
 	qt.Check(t, s.Taken(after(1100*time.Millisecond)), qt.IsTrue)
 	qt.Check(t, s.Wait(after(1100*time.Millisecond)), qt.Equals, time.Duration(0))
 	qt.Check(t, s.Send(after(1100*time.Millisecond), cfg), qt.IsFalse)
-	lasted, times := s.Series(after(1100 * time.Millisecond))
-	qt.Check(t, lasted, qt.Equals, 1100*time.Millisecond)
-	qt.Check(t, times, qt.Equals, 1)
+	duration, count := s.Series(after(1100 * time.Millisecond))
+	qt.Check(t, duration, qt.Equals, 1100*time.Millisecond)
+	qt.Check(t, count, qt.Equals, 1)
 }
 
-// The request that tried the server was taken, but another one was turned away since.
-func TestATakenRequestEndsNoLaterTime(t *testing.T) {
+// The server accepts the probe request, but has rejected another request since.
+func TestAcceptedProbeDoesNotEndLaterBackoff(t *testing.T) {
 	cfg := DefaultConfig()
 	var s Server
 	s.Asked(start, time.Second, cfg)
@@ -68,22 +68,22 @@
 	qt.Check(t, s.Wait(after(1100*time.Millisecond)), qt.Equals, 1950*time.Millisecond)
 }
 
-// What no server means is bounded, and asked again by one request each time.
-func TestTheLongestTimeIsBounded(t *testing.T) {
+// Guards against an implausibly long back-off that takes a server out of use.
+func TestBackoffIsBounded(t *testing.T) {
 	cfg := DefaultConfig()
 	var s Server
 	s.Asked(start, 24*time.Hour, cfg)
 	qt.Check(t, s.Wait(start), qt.Equals, cfg.Longest)
 }
 
-func TestConfigsAreChecked(t *testing.T) {
+func TestValidateNamesFieldOutOfRange(t *testing.T) {
 	qt.Check(t, DefaultConfig().Validate(), qt.IsNil)
 	qt.Check(t, Config{}.Validate(), qt.ErrorMatches, `(?s).*Longest.*`)
 }
 
-// Whatever mixes: nothing is sent before the latest end that the server asked for, and
-// the server gets a request at the latest a trial's time after it.
-func TestNoRequestBeforeTheEndAndOneSoonAfter(t *testing.T) {
+// For any sequence of calls: nothing is sent before the latest end of a requested back-off,
+// and the server may receive a request at the latest the probe time after it.
+func TestNoRequestDuringBackoffAndOneSoonAfter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
 		var s Server
@@ -102,7 +102,7 @@
 					break
 				}
 				if now.Before(end) {
-					t.Fatalf("sent %v before the end", end.Sub(now))
+					t.Fatalf("sent %v before the end of the back-off", end.Sub(now))
 				}
 				s.Send(now, cfg)
 			case 3:
@@ -111,7 +111,7 @@
 				s.Ended()
 			}
 			if wait := s.Wait(now); wait > max(end.Sub(now), cfg.TrialTime) {
-				t.Fatalf("waits %v, the end is in %v", wait, end.Sub(now))
+				t.Fatalf("waits %v, the back-off ends in %v", wait, end.Sub(now))
 			}
 		}
 	})
