--- a/coordination/leave/leave.go
+++ b/coordination/leave/leave.go
@@ -4,7 +4,7 @@
 // and returns the phase. It has no I/O, clock or goroutines. The drivers are
 // transport/router and transport/sidecar.
 //
-// All three use it: direct routers, routers with sidecars, and sidecars.
+// Direct routers, routers with sidecars and sidecars use it.
 package leave
 
 import (
@@ -13,28 +13,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config holds the times of a graceful shutdown.
+// Config holds the timing parameters of a graceful shutdown.
 type Config struct {
-	// Linger is the time in which the process says that it is not ready and
-	// still takes new work, so that who sends it stops first. Default 0s.
+	// Linger is the time during which the process reports that it is not ready
+	// and still accepts new requests, so that clients and load balancers stop
+	// sending before it refuses. Default 0s.
 	Linger time.Duration
-	// Refuse is the least time in which new work is refused before the
-	// process stops, so that work on its way meets a refusal and not a closed
-	// port. Default 1s.
+	// Refuse is the minimum time during which new requests are refused before
+	// the process stops, so that requests in transit get a refusal instead of a
+	// closed port. Default 1s.
 	Refuse time.Duration
-	// Bound is the time after which what still runs is ended with a typed
-	// outcome. Default 30s.
+	// Bound is the time after which the requests in flight are ended with a
+	// typed outcome. Default 30s.
 	Bound time.Duration
-	// Ending is the time in which those outcomes may go out. Default 1s.
+	// Ending bounds the time for sending those outcomes. Default 1s.
 	Ending time.Duration
 }
 
-// DefaultConfig returns the documented defaults.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{Refuse: time.Second, Bound: 30 * time.Second, Ending: time.Second}
 }
 
-// Validate returns an error that names each field out of range.
+// Validate returns an error that names each field that is out of range.
 func (c Config) Validate() error {
 	var err error
 	check := func(ok bool, msg string) {
@@ -49,53 +50,54 @@
 	return err
 }
 
-// Phase is how far a process has left.
+// Phase is a phase of the shutdown.
 type Phase int
 
-// Phases, in their order. A phase is never gone back to.
+// The phases in the order in which a process enters them; it never returns to an
+// earlier one.
 const (
-	// Serving takes new work.
+	// Serving accepts new requests.
 	Serving Phase = iota
-	// Lingering takes new work and says that the process is not ready.
+	// Lingering accepts new requests and reports that the process is not ready.
 	Lingering
-	// Refusing refuses new work and finishes what is held.
+	// Refusing refuses new requests and completes those in flight.
 	Refusing
-	// Ending ends what is still held with typed outcomes.
+	// Ending ends the requests still in flight with typed outcomes.
 	Ending
-	// Stopped has nothing left to do.
+	// Stopped means that the process may exit.
 	Stopped
 )
 
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Asked is the first request to stop.
+// Asked is the first request to shut down.
 type Asked struct{}
 
-// AskedAgain is a second request to stop: no more waiting.
+// AskedAgain is a second request to shut down, which ends the requests in flight
+// at once.
 type AskedAgain struct{}
 
-// Ticked lets time pass. Held is the number of requests that are not ended.
+// Ticked reports the current time. Held is the number of requests in flight.
 type Ticked struct{ Held int }
 
 func (Asked) isEvent()      {}
 func (AskedAgain) isEvent() {}
 func (Ticked) isEvent()     {}
 
-// State is the state of one process. It must be used by one goroutine at a
-// time.
+// State is the shutdown state of one process. It must not be used concurrently.
 //
-// Invariant: before the bound or a second request to stop, the process stops
-// only when nothing is held ("every planned stop is graceful: it cuts off no
-// request in progress").
+// Invariant: before Config.Bound or a second request to shut down, the process
+// stops only when no request is in flight ("every planned stop is graceful: it
+// cuts off no request in progress").
 type State struct {
-	cfg   Config
-	phase Phase
-	asked time.Time
-	ended time.Time
+	cfg         Config
+	phase       Phase
+	requestedAt time.Time
+	endingSince time.Time
 }
 
-// New returns the state of a process that serves. The config must be valid.
+// New returns the state of a serving process. The config must be valid.
 func New(cfg Config) *State { return &State{cfg: cfg} }
 
 // Step applies one event at the time now and returns the phase.
@@ -104,33 +106,33 @@
 	case Asked:
 		if s.phase == Serving {
 			s.phase = Lingering
-			s.asked = now
+			s.requestedAt = now
 		}
-		s.tick(now, 1)
+		s.advance(now, 1)
 	case AskedAgain:
 		if s.phase < Ending {
 			s.phase = Ending
-			s.ended = now
+			s.endingSince = now
 		}
 	case Ticked:
-		s.tick(now, ev.Held)
+		s.advance(now, ev.Held)
 	}
 	return s.phase
 }
 
-func (s *State) tick(now time.Time, held int) {
-	since := now.Sub(s.asked)
-	if s.phase == Lingering && since >= s.cfg.Linger {
+func (s *State) advance(now time.Time, inFlight int) {
+	elapsed := now.Sub(s.requestedAt)
+	if s.phase == Lingering && elapsed >= s.cfg.Linger {
 		s.phase = Refusing
 	}
-	if s.phase == Refusing && held == 0 && since >= s.cfg.Linger+s.cfg.Refuse {
+	if s.phase == Refusing && inFlight == 0 && elapsed >= s.cfg.Linger+s.cfg.Refuse {
 		s.phase = Stopped
 	}
-	if (s.phase == Lingering || s.phase == Refusing) && since >= s.cfg.Bound {
+	if (s.phase == Lingering || s.phase == Refusing) && elapsed >= s.cfg.Bound {
 		s.phase = Ending
-		s.ended = now
+		s.endingSince = now
 	}
-	if s.phase == Ending && (held == 0 || now.Sub(s.ended) >= s.cfg.Ending) {
+	if s.phase == Ending && (inFlight == 0 || now.Sub(s.endingSince) >= s.cfg.Ending) {
 		s.phase = Stopped
 	}
 }
--- a/coordination/leave/leave_test.go
+++ b/coordination/leave/leave_test.go
@@ -13,7 +13,7 @@
 
 func after(d time.Duration) time.Time { return epoch.Add(d) }
 
-func TestPhases(t *testing.T) {
+func TestPhaseSequence(t *testing.T) {
 	c := qt.New(t)
 	cfg := leave.DefaultConfig()
 	cfg.Linger = 2 * time.Second
@@ -26,7 +26,7 @@
 	c.Assert(s.Step(after(29*time.Second), leave.Ticked{}), qt.Equals, leave.Stopped)
 }
 
-func TestRefusesForAWhileThoughNothingIsHeld(t *testing.T) {
+func TestRefusesForMinimumTimeWithoutRequestsInFlight(t *testing.T) {
 	c := qt.New(t)
 	s := leave.New(leave.DefaultConfig())
 	c.Assert(s.Step(epoch, leave.Asked{}), qt.Equals, leave.Refusing)
@@ -34,7 +34,7 @@
 	c.Assert(s.Step(after(time.Second), leave.Ticked{}), qt.Equals, leave.Stopped)
 }
 
-func TestBoundAndSecondRequestEndWhatIsHeld(t *testing.T) {
+func TestBoundAndSecondRequestEndRequestsInFlight(t *testing.T) {
 	c := qt.New(t)
 	for name, ev := range map[string]leave.Event{"bound": leave.Ticked{Held: 1}, "again": leave.AskedAgain{}} {
 		s := leave.New(leave.DefaultConfig())
