--- a/coordination/staleness/staleness.go
+++ b/coordination/staleness/staleness.go
@@ -1,13 +1,14 @@
-// Package staleness decides whether a backend server may be sent a request by knowledge of
-// who leaves that is so old.
+// Package staleness decides whether a router may send a request to a backend server, given
+// the staleness of its view of which servers are shutting down.
 //
-// The pattern that it answers: a watch of the store takes seconds to fail, a datagram is
-// lost, a router did not run for a moment, and meanwhile a server leaves. Knowledge that is
-// older than the bound on requests to servers that left proves nothing about them any more.
-// But a store that is away tells nobody that a server leaves, and must not stop the fleet;
-// and a server whose answer says nothing of leaving speaks for itself.
+// A watch of the store takes seconds to fail, a datagram is lost, or a router is not
+// scheduled for a moment, and meanwhile a server starts to shut down. A view that is older
+// than the bound on requests to departed servers is no evidence that a server still serves.
+// There are two exceptions. While the store is unreachable no router can learn of a
+// shutdown, and an outage of the store must not stop the fleet. And a recent response of a
+// server that announces no shutdown is evidence of its own.
 //
-// The package is pure. Direct routers use it.
+// The package does no I/O. Direct routers use it.
 package staleness
 
 import (
@@ -16,25 +17,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config holds the bounds of the rule.
+// Config holds the time bounds of the decisions.
 type Config struct {
-	// Bound is the time after which a server that left must get nothing. Default 2s: the
-	// users' shortest.
+	// Bound is the time after which a server that shut down must receive no requests.
+	// Default 2s: the shortest that users require.
 	Bound time.Duration
-	// Way is the part of the bound that is kept for the way of a request to its server.
+	// Way is the part of Bound that is reserved for sending a request to its server.
 	// Default 200ms.
 	Way time.Duration
-	// Lead is how long before knowledge is too old the store is asked for newer. Default
-	// 250ms: some answers of it.
+	// Lead is how long before the view becomes too old it is refreshed from the store.
+	// Default 250ms: several round trips to the store.
 	Lead time.Duration
 }
 
-// DefaultConfig returns the documented defaults.
+// DefaultConfig returns the default bounds.
 func DefaultConfig() Config {
 	return Config{Bound: 2 * time.Second, Way: 200 * time.Millisecond, Lead: 250 * time.Millisecond}
 }
 
-// Validate returns an error that names each field out of range.
+// Validate returns an error if the bounds are inconsistent.
 func (c Config) Validate() error {
 	if c.Way < 0 || c.Lead < 0 || c.Bound <= c.Way+c.Lead {
 		return errors.New("Bound must be above the sum of Way and Lead, which must not be negative")
@@ -42,34 +43,37 @@
 	return nil
 }
 
-// Knowledge is what a router knows when it is to send a request.
+// Knowledge describes the view of a router that is about to send a request.
 type Knowledge struct {
-	// Known tells that it has known at all who leaves, Age how long ago that was the newest.
+	// Known reports whether the router has had a view of the servers shutting down, Age
+	// how long ago that view was confirmed as current.
 	Known bool
 	Age   time.Duration
-	// StoreAway tells that the store answers neither this router nor those that it hears.
+	// StoreAway reports whether the store responds neither to this router nor to the
+	// routers that it receives gossip from.
 	StoreAway bool
-	// Saturated tells that it has more work than its processor can do: what it takes for an
-	// outage of the store may be its own lateness.
+	// Saturated reports whether the router has more work than its processor can handle.
+	// What looks like an outage of the store may then be its own delay.
 	Saturated bool
-	// Answered tells that the server has answered a request without saying that it leaves,
-	// SinceAnswer how long ago that was sent.
+	// Answered reports whether the server has responded to a request without announcing a
+	// shutdown, SinceAnswer how long ago that request was sent.
 	Answered    bool
 	SinceAnswer time.Duration
 }
 
-// Asks reports whether the store is to be asked before a request is sent, or beside it.
+// Asks reports whether the store is to be read before a request is sent, or in parallel
+// with it.
 func (c Config) Asks(k Knowledge) bool {
 	return !k.StoreAway && (!k.Known || k.Age > c.Bound-c.Way-c.Lead)
 }
 
-// IsOld reports whether the knowledge is too old to rest on.
+// IsOld reports whether the view is too old to rely on.
 func (c Config) IsOld(k Knowledge) bool { return !k.Known || k.Age > c.Bound-c.Way }
 
-// IsBlind reports whether no server may be sent anything.
+// IsBlind reports whether the router may send no requests to any server.
 func (c Config) IsBlind(k Knowledge) bool { return k.Saturated && c.IsOld(k) }
 
-// MaySend reports whether the server may be sent a request.
+// MaySend reports whether the router may send the server a request.
 func (c Config) MaySend(k Knowledge) bool {
 	switch {
 	case !c.IsOld(k):
--- a/coordination/staleness/staleness_test.go
+++ b/coordination/staleness/staleness_test.go
@@ -8,31 +8,31 @@
 	"pgregory.net/rapid"
 )
 
-func TestWhoMayBeSentToByOldKnowledge(t *testing.T) {
-	const young, old = 1700 * time.Millisecond, 1900 * time.Millisecond
+func TestMaySendByStaleness(t *testing.T) {
+	const recent, old = 1700 * time.Millisecond, 1900 * time.Millisecond
 	for name, tc := range map[string]struct {
 		k    Knowledge
 		want bool
 	}{
-		"young":                               {Knowledge{Known: true, Age: young}, true},
-		"young at a saturated router":         {Knowledge{Known: true, Age: young, Saturated: true}, true},
-		"old":                                 {Knowledge{Known: true, Age: old}, false},
-		"none":                                {Knowledge{}, false},
-		"old in an outage of the store":       {Knowledge{Known: true, Age: old, StoreAway: true}, true},
-		"none in an outage, began by a seed":  {Knowledge{StoreAway: true}, true},
-		"old at a router that is saturated":   {Knowledge{Known: true, Age: old, StoreAway: true, Saturated: true}, false},
-		"old, and the server answered since":  {Knowledge{Known: true, Age: old, Answered: true, SinceAnswer: young}, true},
-		"old, and the server answered before": {Knowledge{Known: true, Age: old, Answered: true, SinceAnswer: old}, false},
-		"saturated, and the server answered":  {Knowledge{Known: true, Age: old, Answered: true, Saturated: true}, false},
+		"young":                                {Knowledge{Known: true, Age: recent}, true},
+		"young at a saturated router":          {Knowledge{Known: true, Age: recent, Saturated: true}, true},
+		"old":                                  {Knowledge{Known: true, Age: old}, false},
+		"none":                                 {Knowledge{}, false},
+		"old in an outage of the store":        {Knowledge{Known: true, Age: old, StoreAway: true}, true},
+		"none in an outage, started by a seed": {Knowledge{StoreAway: true}, true},
+		"old at a router that is saturated":    {Knowledge{Known: true, Age: old, StoreAway: true, Saturated: true}, false},
+		"old, and the server answered since":   {Knowledge{Known: true, Age: old, Answered: true, SinceAnswer: recent}, true},
+		"old, and the server answered before":  {Knowledge{Known: true, Age: old, Answered: true, SinceAnswer: old}, false},
+		"saturated, and the server answered":   {Knowledge{Known: true, Age: old, Answered: true, Saturated: true}, false},
 	} {
 		qt.Check(t, DefaultConfig().MaySend(tc.k), qt.Equals, tc.want, qt.Commentf("%s", name))
 	}
 }
 
-// Whatever a router knows: in a store's presence nothing rests on what is older than the
-// bound less the way, neither the knowledge nor the server's own answer; and a router that
-// is not saturated goes on through an outage.
-func TestNothingRestsOnWhatIsOlderThanTheBound(t *testing.T) {
+// For any view: while the store is reachable, no request relies on a view or a response of the
+// server that is older than the bound less the time reserved for sending; and an outage of the
+// store doesn't stop a router that is not saturated.
+func TestNoRequestReliesOnViewOlderThanBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := func(name string) time.Duration {
 			return time.Duration(rapid.IntRange(0, 6000).Draw(t, name)) * time.Millisecond
@@ -51,19 +51,19 @@
 			youngest = min(youngest, k.SinceAnswer)
 		}
 		if c.MaySend(k) && !k.StoreAway && youngest > limit {
-			t.Fatalf("sent by what is %v old: %+v", youngest, k)
+			t.Fatalf("sent by a view or response that is %v old: %+v", youngest, k)
 		}
 		if k.StoreAway && !k.Saturated && !c.MaySend(k) {
-			t.Fatalf("an outage stops the fleet: %+v", k)
+			t.Fatalf("an outage of the store stops the fleet: %+v", k)
 		}
 		if c.IsBlind(k) && c.MaySend(k) {
-			t.Fatalf("blind, and sends: %+v", k)
+			t.Fatalf("sends although IsBlind: %+v", k)
 		}
 	})
 }
 
-// The store is asked before knowledge is too old, and not while it is away.
-func TestTheStoreIsAskedInTime(t *testing.T) {
+// The store is read before the view is too old, and not while the store is unreachable.
+func TestStoreIsReadBeforeViewIsStale(t *testing.T) {
 	c := DefaultConfig()
 	qt.Check(t, c.Asks(Knowledge{Known: true, Age: 1500 * time.Millisecond}), qt.IsFalse)
 	qt.Check(t, c.Asks(Knowledge{Known: true, Age: 1600 * time.Millisecond}), qt.IsTrue)
@@ -71,7 +71,7 @@
 	qt.Check(t, c.Asks(Knowledge{Known: true, Age: 5 * time.Second, StoreAway: true}), qt.IsFalse)
 }
 
-func TestAConfigNamesWhatIsWrong(t *testing.T) {
+func TestValidateNamesInvalidField(t *testing.T) {
 	qt.Check(t, DefaultConfig().Validate(), qt.IsNil)
 	qt.Check(t, Config{Bound: time.Second, Way: time.Second}.Validate(), qt.ErrorMatches, "Bound .*")
 }
