--- a/coordination/returning/returning.go
+++ b/coordination/returning/returning.go
@@ -1,97 +1,100 @@
-// Package returning tells how long a caller has been waiting since its first
-// attempt, from the time that it still has: callers of one route have the same
-// time at first, and less when they come back after a refusal.
+// Package returning estimates how long a caller has been waiting since its first
+// attempt, from the time left until its deadline: the callers of one route start
+// with the same timeout, and have less time left when they retry after a refusal.
 //
-// A Tracker is pure.
-//
-// Direct routers use it.
+// A Tracker does no I/O and reads no clock. Direct routers use it.
 package returning
 
 import "time"
 
-// Config holds the times of a Tracker.
+// Config holds the parameters of a Tracker.
 type Config struct {
-	// Least is the shortest time that counts as waiting. A first attempt loses
-	// some milliseconds to the opening of its connection; one that was refused
-	// comes back after 50 ms or more. Default 40ms.
+	// Least is the shortest time that counts as a wait. A first attempt loses
+	// some milliseconds while its connection is opened; a refused caller retries
+	// after 50 ms or more. Default 40ms.
 	Least time.Duration
-	// Memory is how long the greatest time of a route counts; a route's
-	// callers may get less time with a new configuration. Default 10s.
+	// Memory is the length of a window of the timeout estimate. The estimate
+	// must expire because a new configuration can shorten the timeout of a
+	// route's callers. Default 10s.
 	Memory time.Duration
-	// Greatest is the longest wait that is believed. Default 2/3 of the
-	// greatest time: callers come back within a third of what they have left.
+	// Greatest is the longest wait that is accepted, as a fraction of the
+	// route's timeout. Default 2/3: callers retry within a third of the time
+	// that they have left.
 	Greatest float64
-	// Telling is the share of a route's requests up to which those that seem to
-	// have waited are believed. Where callers bound their time differently
-	// nearly all seem so, and the time says nothing of an earlier attempt; one
-	// that is refused comes back once, which makes half. Default 0.6.
+	// Telling is the largest fraction of a route's requests that may look like
+	// retries for the estimate to be used. Where callers have different
+	// timeouts nearly all requests look like retries, and the time left says
+	// nothing about an earlier attempt. If each caller is refused once and
+	// retries, half of the requests are retries. Default 0.6.
 	Telling float64
-	// Enough is the number of requests from which that share is judged.
+	// Enough is the number of requests from which that fraction is evaluated.
 	// Default 20.
 	Enough int
 }
 
-// DefaultConfig returns the documented defaults.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{Least: 40 * time.Millisecond, Memory: 10 * time.Second, Greatest: 2.0 / 3, Telling: 0.6, Enough: 20}
 }
 
-// longest is the greatest time of a route in two spans of the memory.
-type longest struct {
-	began       time.Time
-	now, before time.Duration
-	// seen counts the requests of both spans, waited those that seemed to have
-	// waited.
-	seen, waited [2]int
+// timeoutEstimate estimates the timeout of a route's callers as the longest time left in
+// the current and the previous window.
+type timeoutEstimate struct {
+	windowStart       time.Time
+	current, previous time.Duration
+	// requests counts the requests of the current and the previous window,
+	// retries those that look like retries.
+	requests, retries [2]int
 }
 
-// tells reports whether the time that is left says who comes back.
-func (l *longest) tells(cfg Config) bool {
-	seen, waited := l.seen[0]+l.seen[1], l.waited[0]+l.waited[1]
-	return seen < cfg.Enough || float64(waited) <= cfg.Telling*float64(seen)
+// isInformative reports whether the time left distinguishes retries from first attempts.
+func (e *timeoutEstimate) isInformative(cfg Config) bool {
+	requests, retries := e.requests[0]+e.requests[1], e.retries[0]+e.retries[1]
+	return requests < cfg.Enough || float64(retries) <= cfg.Telling*float64(requests)
 }
 
-// turn begins a new span.
-func (l *longest) turn(now time.Time) {
-	l.began, l.before, l.now = now, l.now, 0
-	l.seen = [2]int{0, l.seen[0]}
-	l.waited = [2]int{0, l.waited[0]}
+// startWindow starts a new window.
+func (e *timeoutEstimate) startWindow(now time.Time) {
+	e.windowStart, e.previous, e.current = now, e.current, 0
+	e.requests = [2]int{0, e.requests[0]}
+	e.retries = [2]int{0, e.retries[0]}
 }
 
-// Tracker holds the greatest time of each route. It must be used by one
-// goroutine at a time.
+// Tracker estimates the callers' timeout of each route. It must not be used
+// concurrently.
 type Tracker struct {
 	cfg    Config
-	routes map[string]*longest
+	routes map[string]*timeoutEstimate
 }
 
-// New returns a tracker that knows no route.
-func New(cfg Config) *Tracker { return &Tracker{cfg: cfg, routes: make(map[string]*longest)} }
+// New returns a tracker without routes.
+func New(cfg Config) *Tracker { return &Tracker{cfg: cfg, routes: make(map[string]*timeoutEstimate)} }
 
-// Elapsed returns the time since the caller's first attempt, 0 for a first
-// attempt or when it cannot be told. Late is how long a request may have lain
-// unread at this router, which is no sign of an earlier attempt.
-func (t *Tracker) Elapsed(now time.Time, route string, left, late time.Duration) time.Duration {
+// Elapsed returns the estimated time since the caller's first attempt, 0 for a
+// first attempt or if it can't be estimated. The time left until the caller's
+// deadline is 0 if unknown. A request may have waited unread in the socket buffer
+// of this router for up to readDelay, which is no sign of an earlier attempt.
+func (t *Tracker) Elapsed(now time.Time, route string, left, readDelay time.Duration) time.Duration {
 	if left <= 0 {
 		return 0
 	}
-	l := t.routes[route]
-	if l == nil {
-		l = &longest{began: now}
-		t.routes[route] = l
+	est := t.routes[route]
+	if est == nil {
+		est = &timeoutEstimate{windowStart: now}
+		t.routes[route] = est
 	}
-	if now.Sub(l.began) > t.cfg.Memory {
-		l.turn(now)
+	if now.Sub(est.windowStart) > t.cfg.Memory {
+		est.startWindow(now)
 	}
-	l.seen[0]++
-	l.now = max(l.now, left)
-	full := max(l.now, l.before)
-	waited := full - left
-	if waited < t.cfg.Least+late || float64(waited) > t.cfg.Greatest*float64(full) {
+	est.requests[0]++
+	est.current = max(est.current, left)
+	timeout := max(est.current, est.previous)
+	waited := timeout - left
+	if waited < t.cfg.Least+readDelay || float64(waited) > t.cfg.Greatest*float64(timeout) {
 		return 0
 	}
-	l.waited[0]++
-	if !l.tells(t.cfg) {
+	est.retries[0]++
+	if !est.isInformative(t.cfg) {
 		return 0
 	}
 	return waited
