--- a/coordination/freshness/witness.go
+++ b/coordination/freshness/witness.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Witness turns what other routers found in the store into knowledge of this
-// one. A router that asks the store tells which of this router's messages it
-// had heard before it asked; this router knows by its own clock when it sent
-// that message, so the store was asked later than that. No clock is compared
-// with another, and a message that lies in a buffer for long proves no more
-// than it did when it was sent.
+// Witness lets a router use the store reads of other routers to confirm its own
+// configuration. A router that reads the store reports the latest message of this
+// router that it received before the read. This router knows by its own clock when
+// it sent that message, and the read was sent later than that. So no clocks of
+// different routers are compared, and a report that waits unread in a socket
+// buffer confirms no more than when it was sent.
 type Witness struct {
-	sent [remembered]sending
+	sent [rememberedMessages]sentMessage
 }
 
-// sending is one message of this router.
-type sending struct {
+// sentMessage is a message of this router and the time when it was sent.
+type sentMessage struct {
 	seq uint32
 	at  time.Duration
 }
 
-// remembered bounds the messages whose time is known. At fifty a second they
-// reach back for twenty seconds, longer than any bound of freshness.
-const remembered = 1024
+// rememberedMessages is the number of messages whose send time is kept. At 50
+// messages a second they cover 20 seconds, more than any freshness bound.
+const rememberedMessages = 1024
 
-// Sent notes that the message goes out now.
+// Sent records that the message with the sequence number is sent now.
 func (w *Witness) Sent(seq uint32, now time.Duration) {
-	w.sent[seq%remembered] = sending{seq: seq, at: now}
+	w.sent[seq%rememberedMessages] = sentMessage{seq: seq, at: now}
 }
 
-// Heard returns when the message was sent, if it is still known.
+// Heard returns when the message with the sequence number was sent, and whether
+// that is still known.
 func (w *Witness) Heard(seq uint32) (time.Duration, bool) {
-	s := w.sent[seq%remembered]
+	s := w.sent[seq%rememberedMessages]
 	return s.at, seq != 0 && s.seq == seq
 }
