--- a/coordination/watchduty/watchduty.go
+++ b/coordination/watchduty/watchduty.go
@@ -1,12 +1,11 @@
-// Package watchduty decides which routers of a fleet ask the store for changes.
+// Package watchduty decides which routers of a fleet poll the store for changes.
 //
-// Every call of the store is paid for, and its rates grow more slowly than the
-// fleet. So a few routers watch and tell the others; a router that does not
-// hear from them in time asks itself, so that no router depends on another.
+// Each call to the store costs money, and its rate limits grow more slowly than
+// the fleet. So a few routers, the watchers, poll the store and send updates to the
+// others. A router that receives no update in time polls the store itself, so that
+// no router depends on another.
 //
-// The package is pure.
-//
-// Direct routers use it.
+// The package does no I/O. Direct routers use it.
 package watchduty
 
 import (
@@ -17,63 +16,63 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Config holds the constants of the choice.
+// Config holds the parameters of the selection.
 type Config struct {
-	// Watchers is the number of routers that watch. Default 2: one may fail
-	// while its fall is not known yet.
+	// Watchers is the number of routers that poll for all. Default 2: one may
+	// fail before its failure is detected.
 	Watchers int
-	// Patience is the age of knowledge from which a router asks itself.
-	// Default 2.5s: a watcher's word is up to 1.2 s old when it comes, and the
-	// next one is due a second later. With 1.9s, 28 of 30 routers on a calm
-	// day asked every other second.
+	// Patience is the staleness above which a router polls the store itself.
+	// Default 2.5s: a watcher's update is up to 1.2 s old when it arrives, and
+	// the next one is due a second later. With 1.9s, 28 of 30 routers polled
+	// every other second under low load.
 	Patience time.Duration
-	// Silence is the time without a word of a watcher from which a router asks
-	// itself, however young its knowledge is: others may not know of it, and
-	// then nobody tells it what changes. Default 1.5s: a watcher has a new word
-	// each second or a little later, and a server that leaves must be known
-	// within two. With 1.2s thirty routers made 835 calls on a calm day, with
-	// it 470.
+	// Silence is the time without an update from a watcher above which a router
+	// polls the store itself, even if its view is recent: the watchers may not
+	// have the router in their list, and then none sends it updates. Default
+	// 1.5s: a watcher sends an update each second or slightly later, and a
+	// server that shuts down must be known within 2 s. With 1.2s, 30 routers
+	// made 835 calls under low load, with 1.5s 470.
 	Silence time.Duration
 }
 
-// DefaultConfig returns the documented defaults.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{Watchers: 2, Patience: 2500 * time.Millisecond, Silence: 1500 * time.Millisecond}
 }
 
-// Knowledge is what a router knows of the store.
+// Knowledge describes a router's view of the store.
 type Knowledge struct {
-	// Known tells that it knows anything.
+	// Known reports whether the router has any view.
 	Known bool
-	// Age is how long ago that was the newest.
+	// Age is how long ago the view was confirmed as current.
 	Age time.Duration
-	// Silent is how long ago a watcher's word came last.
+	// Silent is the time since the last update from a watcher.
 	Silent time.Duration
 }
 
-// Asks reports whether the router asks the store now. Routers are the ids of
-// all registered ones.
+// Asks reports whether the router polls the store now. The slice routers holds the
+// ids of all registered routers.
 func (c Config) Asks(self string, routers []string, k Knowledge) bool {
 	if !k.Known || k.Age > c.Patience || k.Silent > c.Silence {
 		return true
 	}
-	before := 0
+	ahead := 0
 	for _, other := range routers {
-		if other != self && compare(other, self) < 0 {
-			before++
+		if other != self && compareByHash(other, self) < 0 {
+			ahead++
 		}
 	}
-	return before < c.Watchers
+	return ahead < c.Watchers
 }
 
-// Chosen returns the routers that watch, of all registered ones.
+// Chosen returns the watchers among the ids of all registered routers.
 func (c Config) Chosen(routers []string) []string {
-	sorted := slices.SortedFunc(slices.Values(routers), compare)
+	sorted := slices.SortedFunc(slices.Values(routers), compareByHash)
 	return sorted[:min(len(sorted), c.Watchers)]
 }
 
-// compare orders routers by the hash of their ids, which spreads the duty over
-// data centres whose names lead the ids.
-func compare(a, b string) int {
+// compareByHash orders routers by the hash of their ids. The ids begin with the name of
+// a data centre, so that an order by id would choose all watchers from one.
+func compareByHash(a, b string) int {
 	return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 }
--- a/coordination/watchduty/watchduty_test.go
+++ b/coordination/watchduty/watchduty_test.go
@@ -8,52 +8,54 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// young is knowledge of a second ago, by a watcher's word of just now.
-var young = Knowledge{Known: true, Age: time.Second}
+// recentView is a view that was current a second ago, with an update just received.
+var recentView = Knowledge{Known: true, Age: time.Second}
 
-// In a fleet of any size the configured number of routers watch while all hear
-// from them.
-func TestAFewWatchForAll(t *testing.T) {
+// In a fleet of any size the configured number of routers poll the store while all
+// routers receive updates.
+func TestConfiguredNumberOfRoutersPolls(t *testing.T) {
 	cfg := DefaultConfig()
 	for _, n := range []int{1, 2, 3, 30, 300} {
 		var routers []string
 		for i := range n {
 			routers = append(routers, fmt.Sprint("edge-", i))
 		}
-		asking := 0
+		polling := 0
 		for _, self := range routers {
-			if cfg.Asks(self, routers, young) {
-				asking++
+			if cfg.Asks(self, routers, recentView) {
+				polling++
 			}
 		}
-		qt.Check(t, asking, qt.Equals, min(n, cfg.Watchers), qt.Commentf("%d routers", n))
+		qt.Check(t, polling, qt.Equals, min(n, cfg.Watchers), qt.Commentf("%d routers", n))
 		for _, chosen := range cfg.Chosen(routers) {
-			qt.Check(t, cfg.Asks(chosen, routers, young), qt.IsTrue)
+			qt.Check(t, cfg.Asks(chosen, routers, recentView), qt.IsTrue)
 		}
 		qt.Check(t, cfg.Chosen(routers), qt.HasLen, min(n, cfg.Watchers))
 	}
 }
 
-// A router that hears nothing in time, or knows nothing, asks itself.
-func TestARouterThatHearsNothingAsks(t *testing.T) {
+// A router polls the store itself if its view is stale or missing.
+func TestRouterWithStaleViewPolls(t *testing.T) {
 	cfg, routers := DefaultConfig(), []string{"a", "b", "c", "d"}
 	for _, self := range routers {
 		qt.Check(t, cfg.Asks(self, routers, Knowledge{Known: true, Age: cfg.Patience + 1}), qt.IsTrue)
 		qt.Check(t, cfg.Asks(self, routers, Knowledge{}), qt.IsTrue)
 	}
-	// A router that does not see itself listed counts all the same.
-	qt.Check(t, cfg.Asks("e", nil, young), qt.IsTrue)
+	// A router that is missing from its own list is counted, too.
+	qt.Check(t, cfg.Asks("e", nil, recentView), qt.IsTrue)
 }
 
-// Pattern: a router was cut off for so long that its entry ended; the others
-// know nothing of it and tell it nothing, while it reaches the store again and
-// asks it now and then. Ground: found by DRAIN on lanna-glyph trouble-1, where it
-// learnt 2.1 s late that a server leaves; the bound is two seconds.
-func TestARouterThatNobodyTellsAsksOften(t *testing.T) {
+// Guards against a router that learns too late that a server shuts down. A router
+// was partitioned for so long that its entry expired. The others didn't have it in
+// their list and sent it no updates, while it reached the store again but polled it
+// only now and then. It was found by the check DRAIN on lanna-glyph trouble-1: the
+// router learnt of the shutdown after 2.1 s; the bound is 2 s.
+func TestRouterWithoutUpdatesPolls(t *testing.T) {
 	cfg, routers := DefaultConfig(), []string{"a", "b", "c", "d"}
 	for _, self := range routers {
 		qt.Check(t, cfg.Asks(self, routers, Knowledge{Known: true, Age: 300 * time.Millisecond, Silent: cfg.Silence + 1}), qt.IsTrue)
 	}
-	// It looks each 100 ms, and a sound store answers within 50.
+	// The condition is checked every 100 ms, and a healthy store responds within
+	// 50 ms.
 	qt.Check(t, cfg.Silence+150*time.Millisecond <= 1800*time.Millisecond, qt.IsTrue)
 }
