--- a/coordination/admission/announced_fleet_test.go
+++ b/coordination/admission/announced_fleet_test.go
@@ -310,7 +310,7 @@
 func (f *modelFleet) checkRefusal(m *modelRouter, d Decision) {
 	for id, one := range m.state.servers {
 		heard := m.heard[one.identity]
-		if heard == nil || !f.Now.Before(heard.end) && (heard.trial == nil || f.Now.Sub(heard.tried) >= m.state.cfg.Backoff.TrialTime) {
+		if heard == nil || !f.Now.Before(heard.end) && (heard.trial == nil || f.Now.Sub(heard.tried) >= m.state.cfg.Backoff.ProbeTime) {
 			f.idle++
 			f.t.Errorf("%v: refused (%s), though nothing is known against %s", f.Now.Sub(epoch), d.Reason, id)
 		}
--- a/coordination/admission/backoff.go
+++ b/coordination/admission/backoff.go
@@ -72,7 +72,7 @@
 	if !s.isIn(r.server) {
 		s.parted[r.server.identity] = one
 	}
-	return one.Asked(now, after, s.cfg.Backoff)
+	return one.BackoffRequested(now, after, s.cfg.Backoff)
 }
 
 // MaySend reports whether the run's server still wants requests.
@@ -136,7 +136,7 @@
 
 // part keeps what a server that is taken out asked for.
 func (s *State) part(one *server) {
-	if one.backoff.Asking() {
+	if one.backoff.InBackoff() {
 		s.parted[one.identity] = one.backoff
 	}
 }
--- a/coordination/admission/backoff_test.go
+++ b/coordination/admission/backoff_test.go
@@ -161,7 +161,7 @@
 		b.Run(fmt.Sprintf("asking=%d", asking), func(b *testing.B) {
 			s, now := coldFleet(180, 0)
 			for i := range asking {
-				s.servers[fmt.Sprintf("i-%d", 3*i)].backoff.Asked(now, 1000*time.Hour, backoff.Config{Longest: 1000 * time.Hour, TrialTime: time.Second})
+				s.servers[fmt.Sprintf("i-%d", 3*i)].backoff.BackoffRequested(now, 1000*time.Hour, backoff.Config{Longest: 1000 * time.Hour, ProbeTime: time.Second})
 			}
 			benchmarkPlace(b, s, now)
 		})
--- a/coordination/admission/run.go
+++ b/coordination/admission/run.go
@@ -48,7 +48,7 @@
 	r.server.refusals, r.server.refusedUntil = 0, time.Time{}
 	if r.trial {
 		r.trial = false
-		resumed = s.backoffOf(r.server).Taken(now)
+		resumed = s.backoffOf(r.server).ProbeAccepted(now)
 	}
 	r.server.pace.observe(now, r.estimate, now.Sub(r.sent))
 	s.begun(now, r)
--- a/coordination/backoff/backoff.go
+++ b/coordination/backoff/backoff.go
@@ -24,12 +24,12 @@
 	// TrialTime is the time for which a probe request without a result keeps other
 	// requests from being sent. Default 500ms: the time to the first token of a long
 	// prompt.
-	TrialTime time.Duration
+	ProbeTime time.Duration
 }
 
 // DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
-	return Config{Longest: time.Minute, TrialTime: 500 * time.Millisecond}
+	return Config{Longest: time.Minute, ProbeTime: 500 * time.Millisecond}
 }
 
 // Validate returns an error that names each field that is out of range.
@@ -38,7 +38,7 @@
 	if c.Longest <= 0 {
 		err = errors.CombineErrors(err, errors.New("Longest must be positive"))
 	}
-	if c.TrialTime <= 0 {
+	if c.ProbeTime <= 0 {
 		err = errors.CombineErrors(err, errors.New("TrialTime must be positive"))
 	}
 	return err
@@ -62,8 +62,8 @@
 // Asked records that the server rejected a request and requested a back-off of the given
 // length. Requests that were in flight may be rejected later with a shorter back-off, so
 // the latest end counts. It reports whether this starts a new series of back-offs.
-func (s *Server) Asked(now time.Time, delay time.Duration, cfg Config) (started bool) {
-	started = !s.Asking()
+func (s *Server) BackoffRequested(now time.Time, delay time.Duration, cfg Config) (started bool) {
+	started = !s.InBackoff()
 	if started {
 		s.firstRequest, s.requestCount = now, 0
 	}
@@ -96,22 +96,22 @@
 
 // Asking reports whether the server requested a back-off and has accepted no request
 // since.
-func (s *Server) Asking() bool { return !s.end.IsZero() }
+func (s *Server) InBackoff() bool { return !s.end.IsZero() }
 
 // Send records that a request is sent to the server. It reports whether that request is
 // the probe after a back-off.
 func (s *Server) Send(now time.Time, cfg Config) (probe bool) {
-	if !s.Asking() {
+	if !s.InBackoff() {
 		return false
 	}
-	s.probeUntil = now.Add(cfg.TrialTime)
+	s.probeUntil = now.Add(cfg.ProbeTime)
 	return true
 }
 
 // Taken records that the server accepted the probe request, and reports whether this ends
 // the back-off. It doesn't if another request was rejected since.
-func (s *Server) Taken(now time.Time) (ended bool) {
-	if !s.Asking() || !s.Accepts(now) {
+func (s *Server) ProbeAccepted(now time.Time) (ended bool) {
+	if !s.InBackoff() || !s.Accepts(now) {
 		return false
 	}
 	s.end, s.probeUntil = time.Time{}, time.Time{}
@@ -125,7 +125,7 @@
 // Age returns the time since the latest back-off request, or -1ms if the server requested
 // none since it last accepted a request.
 func (s *Server) Age(now time.Time) time.Duration {
-	if !s.Asking() {
+	if !s.InBackoff() {
 		return -time.Millisecond
 	}
 	return now.Sub(s.lastRequest)
--- a/coordination/backoff/backoff_test.go
+++ b/coordination/backoff/backoff_test.go
@@ -17,7 +17,7 @@
 	var s Server
 	qt.Check(t, s.Wait(start), qt.Equals, time.Duration(0))
 	qt.Check(t, s.Send(start, cfg), qt.IsFalse)
-	qt.Check(t, s.Asked(start, 3*time.Second, cfg), qt.IsTrue)
+	qt.Check(t, s.BackoffRequested(start, 3*time.Second, cfg), qt.IsTrue)
 	qt.Check(t, s.Wait(after(time.Second)), qt.Equals, 2*time.Second)
 	qt.Check(t, s.Accepts(after(2999*time.Millisecond)), qt.IsFalse)
 	qt.Check(t, s.Wait(after(3*time.Second)), qt.Equals, time.Duration(0))
@@ -29,10 +29,10 @@
 func TestLatestBackoffEndCounts(t *testing.T) {
 	cfg := DefaultConfig()
 	var s Server
-	s.Asked(start, 3*time.Second, cfg)
-	qt.Check(t, s.Asked(after(time.Second), time.Second, cfg), qt.IsFalse)
+	s.BackoffRequested(start, 3*time.Second, cfg)
+	qt.Check(t, s.BackoffRequested(after(time.Second), time.Second, cfg), qt.IsFalse)
 	qt.Check(t, s.Wait(after(time.Second)), qt.Equals, 2*time.Second)
-	s.Asked(after(time.Second), 4*time.Second, cfg)
+	s.BackoffRequested(after(time.Second), 4*time.Second, cfg)
 	qt.Check(t, s.Wait(after(time.Second)), qt.Equals, 4*time.Second)
 }
 
@@ -41,15 +41,15 @@
 func TestOneProbeAfterBackoff(t *testing.T) {
 	cfg := DefaultConfig()
 	var s Server
-	s.Asked(start, time.Second, cfg)
+	s.BackoffRequested(start, time.Second, cfg)
 	qt.Check(t, s.Send(after(time.Second), cfg), qt.IsTrue)
-	qt.Check(t, s.Wait(after(time.Second)), qt.Equals, cfg.TrialTime)
+	qt.Check(t, s.Wait(after(time.Second)), qt.Equals, cfg.ProbeTime)
 	qt.Check(t, s.Accepts(after(time.Second)), qt.IsTrue)
-	qt.Check(t, s.Wait(after(time.Second+cfg.TrialTime)), qt.Equals, time.Duration(0))
+	qt.Check(t, s.Wait(after(time.Second+cfg.ProbeTime)), qt.Equals, time.Duration(0))
 	s.Ended()
 	qt.Check(t, s.Wait(after(time.Second)), qt.Equals, time.Duration(0))
 	s.Send(after(time.Second), cfg)
-	qt.Check(t, s.Taken(after(1100*time.Millisecond)), qt.IsTrue)
+	qt.Check(t, s.ProbeAccepted(after(1100*time.Millisecond)), qt.IsTrue)
 	qt.Check(t, s.Wait(after(1100*time.Millisecond)), qt.Equals, time.Duration(0))
 	qt.Check(t, s.Send(after(1100*time.Millisecond), cfg), qt.IsFalse)
 	duration, count := s.Series(after(1100 * time.Millisecond))
@@ -61,10 +61,10 @@
 func TestAcceptedProbeDoesNotEndLaterBackoff(t *testing.T) {
 	cfg := DefaultConfig()
 	var s Server
-	s.Asked(start, time.Second, cfg)
+	s.BackoffRequested(start, time.Second, cfg)
 	s.Send(after(time.Second), cfg)
-	s.Asked(after(1050*time.Millisecond), 2*time.Second, cfg)
-	qt.Check(t, s.Taken(after(1100*time.Millisecond)), qt.IsFalse)
+	s.BackoffRequested(after(1050*time.Millisecond), 2*time.Second, cfg)
+	qt.Check(t, s.ProbeAccepted(after(1100*time.Millisecond)), qt.IsFalse)
 	qt.Check(t, s.Wait(after(1100*time.Millisecond)), qt.Equals, 1950*time.Millisecond)
 }
 
@@ -72,7 +72,7 @@
 func TestBackoffIsBounded(t *testing.T) {
 	cfg := DefaultConfig()
 	var s Server
-	s.Asked(start, 24*time.Hour, cfg)
+	s.BackoffRequested(start, 24*time.Hour, cfg)
 	qt.Check(t, s.Wait(start), qt.Equals, cfg.Longest)
 }
 
@@ -93,7 +93,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
 				d := time.Duration(rapid.IntRange(1, 90000).Draw(t, "after")) * time.Millisecond
-				s.Asked(now, d, cfg)
+				s.BackoffRequested(now, d, cfg)
 				if until := now.Add(min(d, cfg.Longest)); until.After(end) {
 					end = until
 				}
@@ -106,11 +106,11 @@
 				}
 				s.Send(now, cfg)
 			case 3:
-				s.Taken(now)
+				s.ProbeAccepted(now)
 			default:
 				s.Ended()
 			}
-			if wait := s.Wait(now); wait > max(end.Sub(now), cfg.TrialTime) {
+			if wait := s.Wait(now); wait > max(end.Sub(now), cfg.ProbeTime) {
 				t.Fatalf("waits %v, the back-off ends in %v", wait, end.Sub(now))
 			}
 		}
--- a/coordination/freshness/freshness_test.go
+++ b/coordination/freshness/freshness_test.go
@@ -48,7 +48,7 @@
 	w.Sent(1, 10*time.Second)
 	w.Sent(2, 11*time.Second)
 	// The report arrives at 14.5 s and names message 1.
-	at, known := w.Heard(1)
+	at, known := w.SentAt(1)
 	qt.Assert(t, known, qt.IsTrue)
 	tr.Confirm(at)
 	qt.Check(t, tr.Fresh(14*time.Second), qt.IsTrue)
@@ -58,11 +58,11 @@
 func TestWitnessRejectsUnknownAndForgottenMessages(t *testing.T) {
 	w := &Witness{}
 	for _, seq := range []uint32{0, 5} {
-		_, known := w.Heard(seq)
+		_, known := w.SentAt(seq)
 		qt.Check(t, known, qt.IsFalse)
 	}
 	w.Sent(5, time.Second)
 	w.Sent(5+rememberedMessages, 20*time.Second)
-	_, known := w.Heard(5)
+	_, known := w.SentAt(5)
 	qt.Check(t, known, qt.IsFalse)
 }
--- a/coordination/freshness/witness.go
+++ b/coordination/freshness/witness.go
@@ -29,7 +29,7 @@
 
 // Heard returns when the message with the sequence number was sent, and whether
 // that is still known.
-func (w *Witness) Heard(seq uint32) (time.Duration, bool) {
+func (w *Witness) SentAt(seq uint32) (time.Duration, bool) {
 	s := w.sent[seq%rememberedMessages]
 	return s.at, seq != 0 && s.seq == seq
 }
--- a/coordination/leave/leave.go
+++ b/coordination/leave/leave.go
@@ -72,18 +72,18 @@
 type Event interface{ isEvent() }
 
 // Asked is the first request to shut down.
-type Asked struct{}
+type StopRequested struct{}
 
 // AskedAgain is a second request to shut down, which ends the requests in flight
 // at once.
-type AskedAgain struct{}
+type StopRequestedAgain struct{}
 
 // Ticked reports the current time. Held is the number of requests in flight.
-type Ticked struct{ Held int }
+type Ticked struct{ InFlight int }
 
-func (Asked) isEvent()      {}
-func (AskedAgain) isEvent() {}
-func (Ticked) isEvent()     {}
+func (StopRequested) isEvent()      {}
+func (StopRequestedAgain) isEvent() {}
+func (Ticked) isEvent()             {}
 
 // State is the shutdown state of one process. It must not be used concurrently.
 //
@@ -103,19 +103,19 @@
 // Step applies one event at the time now and returns the phase.
 func (s *State) Step(now time.Time, ev Event) Phase {
 	switch ev := ev.(type) {
-	case Asked:
+	case StopRequested:
 		if s.phase == Serving {
 			s.phase = Lingering
 			s.requestedAt = now
 		}
 		s.advance(now, 1)
-	case AskedAgain:
+	case StopRequestedAgain:
 		if s.phase < Ending {
 			s.phase = Ending
 			s.endingSince = now
 		}
 	case Ticked:
-		s.advance(now, ev.Held)
+		s.advance(now, ev.InFlight)
 	}
 	return s.phase
 }
--- a/coordination/limit/config.go
+++ b/coordination/limit/config.go
@@ -23,44 +23,44 @@
 	Max int
 	// First is the target for the 95th percentile of the time to the first
 	// token. Default 970ms.
-	First time.Duration
+	FirstTokenTarget time.Duration
 	// Gap is the target for the 95th percentile of the time between tokens.
 	// Default 50ms.
-	Gap time.Duration
+	TokenGapTarget time.Duration
 	// MinSamples is the number of samples that a percentile needs to be used.
 	// Default 20.
 	MinSamples int
 	// Settle is the number of windows after a change of the limit in which it
 	// is not changed again, because measurements and reports lag. It must cover
 	// the lag of the engine's report. Default 3.
-	Settle int
+	SettleWindows int
 	// Headroom is the fraction of the targets below which the limit may rise.
 	// Default 0.9.
 	Headroom float64
 	// Deepest bounds one decrease: the limit is multiplied by at least this
 	// factor. Default 0.7.
-	Deepest float64
+	MinDecreaseFactor float64
 	// Again is the number of windows after which a limit that exceeded a target
 	// may be tried again. Default 30.
-	Again int
+	RetryWindows int
 	// Futile is the number of consecutive decreases without effect after which
 	// they are reverted. Default 2.
-	Futile int
+	MaxFutileDecreases int
 }
 
 // DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
-		Min:        1,
-		Max:        8,
-		First:      970 * time.Millisecond,
-		Gap:        50 * time.Millisecond,
-		MinSamples: 20,
-		Settle:     3,
-		Headroom:   0.9,
-		Deepest:    0.7,
-		Again:      30,
-		Futile:     2,
+		Min:                1,
+		Max:                8,
+		FirstTokenTarget:   970 * time.Millisecond,
+		TokenGapTarget:     50 * time.Millisecond,
+		MinSamples:         20,
+		SettleWindows:      3,
+		Headroom:           0.9,
+		MinDecreaseFactor:  0.7,
+		RetryWindows:       30,
+		MaxFutileDecreases: 2,
 	}
 }
 
@@ -74,13 +74,13 @@
 	}
 	check(c.Min > 0, "Min must be positive")
 	check(c.Max >= c.Min, "Max must be at least Min")
-	check(c.First > 0, "First must be positive")
-	check(c.Gap > 0, "Gap must be positive")
+	check(c.FirstTokenTarget > 0, "First must be positive")
+	check(c.TokenGapTarget > 0, "Gap must be positive")
 	check(c.MinSamples > 0, "MinSamples must be positive")
-	check(c.Settle >= 0, "Settle must not be negative")
+	check(c.SettleWindows >= 0, "Settle must not be negative")
 	check(c.Headroom > 0 && c.Headroom < 1, "Headroom must lie in (0, 1)")
-	check(c.Deepest > 0 && c.Deepest < 1, "Deepest must lie in (0, 1)")
-	check(c.Again > 0, "Again must be positive")
-	check(c.Futile > 0, "Futile must be positive")
+	check(c.MinDecreaseFactor > 0 && c.MinDecreaseFactor < 1, "Deepest must lie in (0, 1)")
+	check(c.RetryWindows > 0, "Again must be positive")
+	check(c.MaxFutileDecreases > 0, "Futile must be positive")
 	return err
 }
--- a/coordination/limit/limit.go
+++ b/coordination/limit/limit.go
@@ -109,10 +109,10 @@
 func (l *Limiter) relativeLoad(w Window) (float64, bool) {
 	load, measured := 0.0, false
 	if w.Firsts >= l.cfg.MinSamples {
-		load, measured = float64(w.First)/float64(l.cfg.First), true
+		load, measured = float64(w.First)/float64(l.cfg.FirstTokenTarget), true
 	}
 	if w.Gaps >= l.cfg.MinSamples {
-		load, measured = max(load, float64(w.Gap)/float64(l.cfg.Gap)), true
+		load, measured = max(load, float64(w.Gap)/float64(l.cfg.TokenGapTarget)), true
 	}
 	return load, measured
 }
@@ -132,7 +132,7 @@
 	}
 	if l.isFutile(load) {
 		l.setLimit(l.seriesStart)
-		l.independentWindows = l.cfg.Again
+		l.independentWindows = l.cfg.RetryWindows
 		l.endSeries()
 		l.tooHigh, l.tooHighWindows = 0, 0
 		return
@@ -141,8 +141,8 @@
 		l.seriesStart = l.limit
 	}
 	l.lastLoad = load
-	l.tooHigh, l.tooHighWindows = l.limit, l.cfg.Again
-	factor := max(1/load, l.cfg.Deepest)
+	l.tooHigh, l.tooHighWindows = l.limit, l.cfg.RetryWindows
+	factor := max(1/load, l.cfg.MinDecreaseFactor)
 	l.setLimit(max(min(int(float64(l.limit)*factor), l.limit-1), l.cfg.Min))
 }
 
@@ -157,7 +157,7 @@
 	} else {
 		l.futileDecreases = 0
 	}
-	return l.futileDecreases >= l.cfg.Futile
+	return l.futileDecreases >= l.cfg.MaxFutileDecreases
 }
 
 // endSeries ends a series of consecutive decreases.
@@ -168,5 +168,5 @@
 		return
 	}
 	l.limit = limit
-	l.settleWindows = l.cfg.Settle
+	l.settleWindows = l.cfg.SettleWindows
 }
--- a/coordination/returning/returning.go
+++ b/coordination/returning/returning.go
@@ -12,29 +12,29 @@
 	// Least is the shortest time that counts as a wait. A first attempt loses
 	// some milliseconds while its connection is opened; a refused caller retries
 	// after 50 ms or more. Default 40ms.
-	Least time.Duration
+	MinWait time.Duration
 	// Memory is the length of a window of the timeout estimate. The estimate
 	// must expire because a new configuration can shorten the timeout of a
 	// route's callers. Default 10s.
-	Memory time.Duration
+	Window time.Duration
 	// Greatest is the longest wait that is accepted, as a fraction of the
 	// route's timeout. Default 2/3: callers retry within a third of the time
 	// that they have left.
-	Greatest float64
+	MaxWaitFraction float64
 	// Telling is the largest fraction of a route's requests that may look like
 	// retries for the estimate to be used. Where callers have different
 	// timeouts nearly all requests look like retries, and the time left says
 	// nothing about an earlier attempt. If each caller is refused once and
 	// retries, half of the requests are retries. Default 0.6.
-	Telling float64
+	MaxRetryFraction float64
 	// Enough is the number of requests from which that fraction is evaluated.
 	// Default 20.
-	Enough int
+	MinSamples int
 }
 
 // DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
-	return Config{Least: 40 * time.Millisecond, Memory: 10 * time.Second, Greatest: 2.0 / 3, Telling: 0.6, Enough: 20}
+	return Config{MinWait: 40 * time.Millisecond, Window: 10 * time.Second, MaxWaitFraction: 2.0 / 3, MaxRetryFraction: 0.6, MinSamples: 20}
 }
 
 // timeoutEstimate estimates the timeout of a route's callers as the longest time left in
@@ -50,7 +50,7 @@
 // isInformative reports whether the time left distinguishes retries from first attempts.
 func (e *timeoutEstimate) isInformative(cfg Config) bool {
 	requests, retries := e.requests[0]+e.requests[1], e.retries[0]+e.retries[1]
-	return requests < cfg.Enough || float64(retries) <= cfg.Telling*float64(requests)
+	return requests < cfg.MinSamples || float64(retries) <= cfg.MaxRetryFraction*float64(requests)
 }
 
 // startWindow starts a new window.
@@ -83,14 +83,14 @@
 		est = &timeoutEstimate{windowStart: now}
 		t.routes[route] = est
 	}
-	if now.Sub(est.windowStart) > t.cfg.Memory {
+	if now.Sub(est.windowStart) > t.cfg.Window {
 		est.startWindow(now)
 	}
 	est.requests[0]++
 	est.current = max(est.current, left)
 	timeout := max(est.current, est.previous)
 	waited := timeout - left
-	if waited < t.cfg.Least+readDelay || float64(waited) > t.cfg.Greatest*float64(timeout) {
+	if waited < t.cfg.MinWait+readDelay || float64(waited) > t.cfg.MaxWaitFraction*float64(timeout) {
 		return 0
 	}
 	est.retries[0]++
--- a/coordination/returning/returning_test.go
+++ b/coordination/returning/returning_test.go
@@ -46,7 +46,7 @@
 	for i := range 400 {
 		now = now.Add(20 * time.Millisecond)
 		left := 15*time.Second - time.Duration(i*37%100)*22*time.Millisecond
-		if tr.Elapsed(now, "r", left, 0) > 0 && i >= DefaultConfig().Enough {
+		if tr.Elapsed(now, "r", left, 0) > 0 && i >= DefaultConfig().MinSamples {
 			estimated++
 		}
 	}
--- a/coordination/staleness/staleness.go
+++ b/coordination/staleness/staleness.go
@@ -24,7 +24,7 @@
 	Bound time.Duration
 	// Way is the part of Bound that is reserved for sending a request to its server.
 	// Default 200ms.
-	Way time.Duration
+	TransitTime time.Duration
 	// Lead is how long before the view becomes too old it is refreshed from the store.
 	// Default 250ms: several round trips to the store.
 	Lead time.Duration
@@ -32,12 +32,12 @@
 
 // DefaultConfig returns the default bounds.
 func DefaultConfig() Config {
-	return Config{Bound: 2 * time.Second, Way: 200 * time.Millisecond, Lead: 250 * time.Millisecond}
+	return Config{Bound: 2 * time.Second, TransitTime: 200 * time.Millisecond, Lead: 250 * time.Millisecond}
 }
 
 // Validate returns an error if the bounds are inconsistent.
 func (c Config) Validate() error {
-	if c.Way < 0 || c.Lead < 0 || c.Bound <= c.Way+c.Lead {
+	if c.TransitTime < 0 || c.Lead < 0 || c.Bound <= c.TransitTime+c.Lead {
 		return errors.New("Bound must be above the sum of Way and Lead, which must not be negative")
 	}
 	return nil
@@ -51,7 +51,7 @@
 	Age   time.Duration
 	// StoreAway reports whether the store responds neither to this router nor to the
 	// routers that it receives gossip from.
-	StoreAway bool
+	StoreUnreachable bool
 	// Saturated reports whether the router has more work than its processor can handle.
 	// What looks like an outage of the store may then be its own delay.
 	Saturated bool
@@ -63,26 +63,26 @@
 
 // Asks reports whether the store is to be read before a request is sent, or in parallel
 // with it.
-func (c Config) Asks(k Knowledge) bool {
-	return !k.StoreAway && (!k.Known || k.Age > c.Bound-c.Way-c.Lead)
+func (c Config) NeedsRead(k Knowledge) bool {
+	return !k.StoreUnreachable && (!k.Known || k.Age > c.Bound-c.TransitTime-c.Lead)
 }
 
 // IsOld reports whether the view is too old to rely on.
-func (c Config) IsOld(k Knowledge) bool { return !k.Known || k.Age > c.Bound-c.Way }
+func (c Config) IsStale(k Knowledge) bool { return !k.Known || k.Age > c.Bound-c.TransitTime }
 
 // IsBlind reports whether the router may send no requests to any server.
-func (c Config) IsBlind(k Knowledge) bool { return k.Saturated && c.IsOld(k) }
+func (c Config) IsBlind(k Knowledge) bool { return k.Saturated && c.IsStale(k) }
 
 // MaySend reports whether the router may send the server a request.
 func (c Config) MaySend(k Knowledge) bool {
 	switch {
-	case !c.IsOld(k):
+	case !c.IsStale(k):
 		return true
 	case k.Saturated:
 		return false
-	case k.StoreAway:
+	case k.StoreUnreachable:
 		return true
 	default:
-		return k.Answered && k.SinceAnswer <= c.Bound-c.Way
+		return k.Answered && k.SinceAnswer <= c.Bound-c.TransitTime
 	}
 }
--- a/coordination/staleness/staleness_test.go
+++ b/coordination/staleness/staleness_test.go
@@ -18,9 +18,9 @@
 		"young at a saturated router":          {Knowledge{Known: true, Age: recent, Saturated: true}, true},
 		"old":                                  {Knowledge{Known: true, Age: old}, false},
 		"none":                                 {Knowledge{}, false},
-		"old in an outage of the store":        {Knowledge{Known: true, Age: old, StoreAway: true}, true},
-		"none in an outage, started by a seed": {Knowledge{StoreAway: true}, true},
-		"old at a router that is saturated":    {Knowledge{Known: true, Age: old, StoreAway: true, Saturated: true}, false},
+		"old in an outage of the store":        {Knowledge{Known: true, Age: old, StoreUnreachable: true}, true},
+		"none in an outage, started by a seed": {Knowledge{StoreUnreachable: true}, true},
+		"old at a router that is saturated":    {Knowledge{Known: true, Age: old, StoreUnreachable: true, Saturated: true}, false},
 		"old, and the server answered since":   {Knowledge{Known: true, Age: old, Answered: true, SinceAnswer: recent}, true},
 		"old, and the server answered before":  {Knowledge{Known: true, Age: old, Answered: true, SinceAnswer: old}, false},
 		"saturated, and the server answered":   {Knowledge{Known: true, Age: old, Answered: true, Saturated: true}, false},
@@ -38,11 +38,11 @@
 			return time.Duration(rapid.IntRange(0, 6000).Draw(t, name)) * time.Millisecond
 		}
 		k := Knowledge{
-			Known: rapid.Bool().Draw(t, "known"), Age: ms("age"), StoreAway: rapid.Bool().Draw(t, "away"),
+			Known: rapid.Bool().Draw(t, "known"), Age: ms("age"), StoreUnreachable: rapid.Bool().Draw(t, "away"),
 			Saturated: rapid.Bool().Draw(t, "saturated"), Answered: rapid.Bool().Draw(t, "answered"), SinceAnswer: ms("since"),
 		}
 		c := DefaultConfig()
-		limit := c.Bound - c.Way
+		limit := c.Bound - c.TransitTime
 		youngest := 2 * c.Bound
 		if k.Known {
 			youngest = k.Age
@@ -50,10 +50,10 @@
 		if k.Answered {
 			youngest = min(youngest, k.SinceAnswer)
 		}
-		if c.MaySend(k) && !k.StoreAway && youngest > limit {
+		if c.MaySend(k) && !k.StoreUnreachable && youngest > limit {
 			t.Fatalf("sent by a view or response that is %v old: %+v", youngest, k)
 		}
-		if k.StoreAway && !k.Saturated && !c.MaySend(k) {
+		if k.StoreUnreachable && !k.Saturated && !c.MaySend(k) {
 			t.Fatalf("an outage of the store stops the fleet: %+v", k)
 		}
 		if c.IsBlind(k) && c.MaySend(k) {
@@ -65,13 +65,13 @@
 // The store is read before the view is too old, and not while the store is unreachable.
 func TestStoreIsReadBeforeViewIsStale(t *testing.T) {
 	c := DefaultConfig()
-	qt.Check(t, c.Asks(Knowledge{Known: true, Age: 1500 * time.Millisecond}), qt.IsFalse)
-	qt.Check(t, c.Asks(Knowledge{Known: true, Age: 1600 * time.Millisecond}), qt.IsTrue)
-	qt.Check(t, c.Asks(Knowledge{}), qt.IsTrue)
-	qt.Check(t, c.Asks(Knowledge{Known: true, Age: 5 * time.Second, StoreAway: true}), qt.IsFalse)
+	qt.Check(t, c.NeedsRead(Knowledge{Known: true, Age: 1500 * time.Millisecond}), qt.IsFalse)
+	qt.Check(t, c.NeedsRead(Knowledge{Known: true, Age: 1600 * time.Millisecond}), qt.IsTrue)
+	qt.Check(t, c.NeedsRead(Knowledge{}), qt.IsTrue)
+	qt.Check(t, c.NeedsRead(Knowledge{Known: true, Age: 5 * time.Second, StoreUnreachable: true}), qt.IsFalse)
 }
 
 func TestValidateNamesInvalidField(t *testing.T) {
 	qt.Check(t, DefaultConfig().Validate(), qt.IsNil)
-	qt.Check(t, Config{Bound: time.Second, Way: time.Second}.Validate(), qt.ErrorMatches, "Bound .*")
+	qt.Check(t, Config{Bound: time.Second, TransitTime: time.Second}.Validate(), qt.ErrorMatches, "Bound .*")
 }
--- a/coordination/watchduty/watchduty.go
+++ b/coordination/watchduty/watchduty.go
@@ -25,19 +25,19 @@
 	// Default 2.5s: a watcher's update is up to 1.2 s old when it arrives, and
 	// the next one is due a second later. With 1.9s, 28 of 30 routers polled
 	// every other second under low load.
-	Patience time.Duration
+	MaxAge time.Duration
 	// Silence is the time without an update from a watcher above which a router
 	// polls the store itself, even if its view is recent: the watchers may not
 	// have the router in their list, and then none sends it updates. Default
 	// 1.5s: a watcher sends an update each second or slightly later, and a
 	// server that shuts down must be known within 2 s. With 1.2s, 30 routers
 	// made 835 calls under low load, with 1.5s 470.
-	Silence time.Duration
+	UpdateTimeout time.Duration
 }
 
 // DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
-	return Config{Watchers: 2, Patience: 2500 * time.Millisecond, Silence: 1500 * time.Millisecond}
+	return Config{Watchers: 2, MaxAge: 2500 * time.Millisecond, UpdateTimeout: 1500 * time.Millisecond}
 }
 
 // Knowledge describes a router's view of the store.
@@ -47,13 +47,13 @@
 	// Age is how long ago the view was confirmed as current.
 	Age time.Duration
 	// Silent is the time since the last update from a watcher.
-	Silent time.Duration
+	SinceUpdate time.Duration
 }
 
 // Asks reports whether the router polls the store now. The slice routers holds the
 // ids of all registered routers.
-func (c Config) Asks(self string, routers []string, k Knowledge) bool {
-	if !k.Known || k.Age > c.Patience || k.Silent > c.Silence {
+func (c Config) ShouldPoll(self string, routers []string, k Knowledge) bool {
+	if !k.Known || k.Age > c.MaxAge || k.SinceUpdate > c.UpdateTimeout {
 		return true
 	}
 	ahead := 0
--- a/coordination/watchduty/watchduty_test.go
+++ b/coordination/watchduty/watchduty_test.go
@@ -22,13 +22,13 @@
 		}
 		polling := 0
 		for _, self := range routers {
-			if cfg.Asks(self, routers, recentView) {
+			if cfg.ShouldPoll(self, routers, recentView) {
 				polling++
 			}
 		}
 		qt.Check(t, polling, qt.Equals, min(n, cfg.Watchers), qt.Commentf("%d routers", n))
 		for _, chosen := range cfg.Chosen(routers) {
-			qt.Check(t, cfg.Asks(chosen, routers, recentView), qt.IsTrue)
+			qt.Check(t, cfg.ShouldPoll(chosen, routers, recentView), qt.IsTrue)
 		}
 		qt.Check(t, cfg.Chosen(routers), qt.HasLen, min(n, cfg.Watchers))
 	}
@@ -38,11 +38,11 @@
 func TestRouterWithStaleViewPolls(t *testing.T) {
 	cfg, routers := DefaultConfig(), []string{"a", "b", "c", "d"}
 	for _, self := range routers {
-		qt.Check(t, cfg.Asks(self, routers, Knowledge{Known: true, Age: cfg.Patience + 1}), qt.IsTrue)
-		qt.Check(t, cfg.Asks(self, routers, Knowledge{}), qt.IsTrue)
+		qt.Check(t, cfg.ShouldPoll(self, routers, Knowledge{Known: true, Age: cfg.MaxAge + 1}), qt.IsTrue)
+		qt.Check(t, cfg.ShouldPoll(self, routers, Knowledge{}), qt.IsTrue)
 	}
 	// A router that is missing from its own list is counted, too.
-	qt.Check(t, cfg.Asks("e", nil, recentView), qt.IsTrue)
+	qt.Check(t, cfg.ShouldPoll("e", nil, recentView), qt.IsTrue)
 }
 
 // Guards against a router that learns too late that a server shuts down. A router
@@ -53,9 +53,9 @@
 func TestRouterWithoutUpdatesPolls(t *testing.T) {
 	cfg, routers := DefaultConfig(), []string{"a", "b", "c", "d"}
 	for _, self := range routers {
-		qt.Check(t, cfg.Asks(self, routers, Knowledge{Known: true, Age: 300 * time.Millisecond, Silent: cfg.Silence + 1}), qt.IsTrue)
+		qt.Check(t, cfg.ShouldPoll(self, routers, Knowledge{Known: true, Age: 300 * time.Millisecond, SinceUpdate: cfg.UpdateTimeout + 1}), qt.IsTrue)
 	}
 	// The condition is checked every 100 ms, and a healthy store responds within
 	// 50 ms.
-	qt.Check(t, cfg.Silence+150*time.Millisecond <= 1800*time.Millisecond, qt.IsTrue)
+	qt.Check(t, cfg.UpdateTimeout+150*time.Millisecond <= 1800*time.Millisecond, qt.IsTrue)
 }
--- a/transport/direct/follow.go
+++ b/transport/direct/follow.go
@@ -62,9 +62,9 @@
 	now := bootTime()
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
-	k := watchduty.Knowledge{Silent: now - f.r.toldAt}
+	k := watchduty.Knowledge{SinceUpdate: now - f.r.toldAt}
 	k.Age, k.Known = f.r.fresh.Age(now)
-	return f.duty.Asks(f.r.set.ID, f.r.routers(), k)
+	return f.duty.ShouldPoll(f.r.set.ID, f.r.routers(), k)
 }
 
 // routers returns the ids of all routers, this one's with them. The caller
--- a/transport/direct/hear.go
+++ b/transport/direct/hear.go
@@ -92,7 +92,7 @@
 	if m.Heard == 0 {
 		return
 	}
-	if at, known := r.witness.Heard(m.Heard); known {
+	if at, known := r.witness.SentAt(m.Heard); known {
 		if at > r.toldOf {
 			r.toldAt, r.toldOf = bootTime(), at
 			r.storeAnswersOthers(at)
--- a/transport/direct/knowledge.go
+++ b/transport/direct/knowledge.go
@@ -15,7 +15,7 @@
 
 // knowledge is what this router knows of who leaves. The caller holds mu.
 func (r *Router) knowledge() staleness.Knowledge {
-	k := staleness.Knowledge{StoreAway: r.roster.Away(), Saturated: r.load.saturated.Load()}
+	k := staleness.Knowledge{StoreUnreachable: r.roster.Away(), Saturated: r.load.saturated.Load()}
 	k.Age, k.Known = r.fresh.Age(bootTime())
 	return k
 }
@@ -58,10 +58,10 @@
 // The store is asked before that is too old. The caller holds mu.
 func (r *Router) mayRely(server roster.Server) bool {
 	k := r.knowledge()
-	if r.cfg.Staleness.Asks(k) {
+	if r.cfg.Staleness.NeedsRead(k) {
 		r.wantKnowledge()
 	}
-	if !r.cfg.Staleness.IsOld(k) {
+	if !r.cfg.Staleness.IsStale(k) {
 		return true
 	}
 	if at := r.pool.Answered(server.Identity()); !at.IsZero() {
--- a/transport/duty/duty.go
+++ b/transport/duty/duty.go
@@ -31,15 +31,15 @@
 	core := leave.New(cfg)
 	ticker := time.NewTicker(leaveEvery)
 	defer ticker.Stop()
-	phase := core.Step(time.Now(), leave.Asked{})
+	phase := core.Step(time.Now(), leave.StopRequested{})
 	enter(phase)
 	for phase != leave.Stopped {
 		var ev leave.Event
 		select {
 		case <-ticker.C:
-			ev = leave.Ticked{Held: int(held())}
+			ev = leave.Ticked{InFlight: int(held())}
 		case <-abort:
-			abort, ev = nil, leave.AskedAgain{}
+			abort, ev = nil, leave.StopRequestedAgain{}
 		}
 		if next := core.Step(time.Now(), ev); next != phase {
 			phase = next
--- a/transport/sidecar/limit.go
+++ b/transport/sidecar/limit.go
@@ -99,8 +99,8 @@
 	cfg := limit.DefaultConfig()
 	cfg.Max = set.Slots
 	cfg.Min = min(set.MinSlots, set.Slots)
-	cfg.First = set.FirstToken.D()
-	cfg.Gap = set.TokenGap.D()
+	cfg.FirstTokenTarget = set.FirstToken.D()
+	cfg.TokenGapTarget = set.TokenGap.D()
 	return cfg
 }
 
