--- a/coordination/admission/backoff.go
+++ b/coordination/admission/backoff.go
@@ -76,7 +76,7 @@
 	if !s.isKnown(r.server) {
 		s.departedBackoffs[r.server.identity] = b
 	}
-	return b.Asked(now, after, s.cfg.Backoff)
+	return b.BackoffRequested(now, after, s.cfg.Backoff)
 }
 
 // MaySend reports whether the server of the run still accepts requests.
@@ -141,7 +141,7 @@
 
 // keepBackoff keeps the back-off of a server that is removed.
 func (s *State) keepBackoff(srv *server) {
-	if srv.backoff.Asking() {
+	if srv.backoff.InBackoff() {
 		s.departedBackoffs[srv.identity] = srv.backoff
 	}
 }
--- a/coordination/admission/backoff_test.go
+++ b/coordination/admission/backoff_test.go
@@ -162,7 +162,7 @@
 		b.Run(fmt.Sprintf("backoff=%d", backingOff), func(b *testing.B) {
 			s, now := coldFleet(180, 0)
 			for i := range backingOff {
-				s.servers[fmt.Sprintf("i-%d", 3*i)].backoff.Asked(now, 1000*time.Hour, backoff.Config{Longest: 1000 * time.Hour, TrialTime: time.Second})
+				s.servers[fmt.Sprintf("i-%d", 3*i)].backoff.BackoffRequested(now, 1000*time.Hour, backoff.Config{Longest: 1000 * time.Hour, ProbeTime: time.Second})
 			}
 			benchmarkPlace(b, s, now)
 		})
--- a/coordination/admission/run.go
+++ b/coordination/admission/run.go
@@ -49,7 +49,7 @@
 	r.server.refusals, r.server.refusedUntil = 0, time.Time{}
 	if r.backoffProbe {
 		r.backoffProbe = false
-		resumed = s.backoffOf(r.server).Taken(now)
+		resumed = s.backoffOf(r.server).ProbeAccepted(now)
 	}
 	r.server.slowdown.observe(now, r.estimate, now.Sub(r.sentAt))
 	s.markStarted(now, r)
--- a/coordination/admission/shutdown_fleet_test.go
+++ b/coordination/admission/shutdown_fleet_test.go
@@ -317,7 +317,7 @@
 func (f *simFleet) checkRefusal(m *simRouter, d Decision) {
 	for id, srv := range m.state.servers {
 		view := m.views[srv.identity]
-		if view == nil || !f.Now.Before(view.backoffEnd) && (view.probe == nil || f.Now.Sub(view.probedAt) >= m.state.cfg.Backoff.TrialTime) {
+		if view == nil || !f.Now.Before(view.backoffEnd) && (view.probe == nil || f.Now.Sub(view.probedAt) >= m.state.cfg.Backoff.ProbeTime) {
 			f.idle++
 			f.t.Errorf("%v: refused (%s) although %s accepts requests", f.Now.Sub(epoch), d.Reason, id)
 		}
