--- a/coordination/attempt/attempt.go
+++ b/coordination/attempt/attempt.go
@@ -155,8 +155,8 @@
 	return Resume{}
 }
 
-// afterNotRun decides how to continue after an attempt that is reported not to have
-// run. The report is disregarded if part of a response was delivered.
+// afterNotRun decides how to continue after an attempt that is reported not to
+// have run. The report is disregarded if part of a response was delivered.
 func (s *State) afterNotRun(now time.Time, cause Cause) Action {
 	if s.delivered {
 		return s.afterMayHaveRun(now, cause)
--- a/coordination/attempt/event.go
+++ b/coordination/attempt/event.go
@@ -61,8 +61,8 @@
 // Action is an output of State.Step that the driver performs.
 type Action interface{ isAction() }
 
-// Settle queries the fate of the attempt from the incarnation of the sidecar that
-// the attempt was sent to.
+// Settle queries the fate of the attempt from the incarnation of the sidecar
+// that the attempt was sent to.
 type Settle struct {
 	// After is the delay before the query.
 	After time.Duration
--- a/coordination/backoff/backoff.go
+++ b/coordination/backoff/backoff.go
@@ -21,7 +21,7 @@
 	// Longest bounds the back-off that a server can request. A server that needs a
 	// longer one can reject the probe request and so request another. Default 1m.
 	Longest time.Duration
-	// TrialTime is the time for which a probe request without a result keeps other
+	// ProbeTime is the time for which a probe request without a result keeps other
 	// requests from being sent. Default 500ms: the time to the first token of a long
 	// prompt.
 	ProbeTime time.Duration
@@ -39,7 +39,7 @@
 		err = errors.CombineErrors(err, errors.New("Longest must be positive"))
 	}
 	if c.ProbeTime <= 0 {
-		err = errors.CombineErrors(err, errors.New("TrialTime must be positive"))
+		err = errors.CombineErrors(err, errors.New("ProbeTime must be positive"))
 	}
 	return err
 }
@@ -50,8 +50,8 @@
 	// end is the end of the back-off, zero if none was requested since the server
 	// last accepted a request.
 	end time.Time
-	// firstRequest and lastRequest are the times of the first and the latest back-off request of
-	// the present series; requestCount is the length of the series.
+	// firstRequest and lastRequest are the times of the first and the latest back-off
+	// request of the present series; requestCount is the length of the series.
 	firstRequest, lastRequest time.Time
 	requestCount              int
 	// probeUntil is the time until which the probe request keeps others from being
@@ -59,9 +59,10 @@
 	probeUntil time.Time
 }
 
-// Asked records that the server rejected a request and requested a back-off of the given
-// length. Requests that were in flight may be rejected later with a shorter back-off, so
-// the latest end counts. It reports whether this starts a new series of back-offs.
+// BackoffRequested records that the server rejected a request and requested a back-off
+// of the given length. Requests that were in flight may be rejected later with a
+// shorter back-off, so the latest end counts. It reports whether this starts a new
+// series of back-offs.
 func (s *Server) BackoffRequested(now time.Time, delay time.Duration, cfg Config) (started bool) {
 	started = !s.InBackoff()
 	if started {
@@ -94,7 +95,7 @@
 // it disregards a probe request that is in flight.
 func (s *Server) Accepts(now time.Time) bool { return !now.Before(s.end) }
 
-// Asking reports whether the server requested a back-off and has accepted no request
+// InBackoff reports whether the server requested a back-off and has accepted no request
 // since.
 func (s *Server) InBackoff() bool { return !s.end.IsZero() }
 
@@ -108,8 +109,8 @@
 	return true
 }
 
-// Taken records that the server accepted the probe request, and reports whether this ends
-// the back-off. It doesn't if another request was rejected since.
+// ProbeAccepted records that the server accepted the probe request, and reports whether
+// this ends the back-off. It doesn't if another request was rejected since.
 func (s *Server) ProbeAccepted(now time.Time) (ended bool) {
 	if !s.InBackoff() || !s.Accepts(now) {
 		return false
@@ -122,8 +123,8 @@
 // another probe may be sent.
 func (s *Server) Ended() { s.probeUntil = time.Time{} }
 
-// Age returns the time since the latest back-off request, or -1ms if the server requested
-// none since it last accepted a request.
+// Age returns the time since the latest back-off request, or -1ms if the server
+// requested none since it last accepted a request.
 func (s *Server) Age(now time.Time) time.Duration {
 	if !s.InBackoff() {
 		return -time.Millisecond
--- a/coordination/backoff/backoff_test.go
+++ b/coordination/backoff/backoff_test.go
@@ -81,8 +81,8 @@
 	qt.Check(t, Config{}.Validate(), qt.ErrorMatches, `(?s).*Longest.*`)
 }
 
-// For any sequence of calls: nothing is sent before the latest end of a requested back-off,
-// and the server may receive a request at the latest the probe time after it.
+// For any sequence of calls: nothing is sent before the latest end of a requested
+// back-off, and the server may receive a request at the latest the probe time after it.
 func TestNoRequestDuringBackoffAndOneSoonAfter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
--- a/coordination/completeness/completeness.go
+++ b/coordination/completeness/completeness.go
@@ -100,8 +100,8 @@
 type Sign int
 
 const (
-	// Silent means that the server's state is unknown. For a server that is known to be
-	// shutting down it is always Silent, because refused connections are expected of it.
+	// Silent means that the server's state is unknown. It is also used for a server that is
+	// known to be shutting down, whose refused connections are no sign of a crash.
 	Silent Sign = iota
 	// Takes means that the server accepts connections.
 	Takes
--- a/coordination/completeness/model_test.go
+++ b/coordination/completeness/model_test.go
@@ -12,8 +12,8 @@
 	"goldcrestport/state/eventstream"
 )
 
-// serverModel models servers that stream events to a router: with any framing, starting at any event,
-// ending in any way and read in pieces of any size. Events are numbered from 1 to last.
+// serverModel models servers that stream events to a router: with any framing, starting at any
+// event, ending in any way and read in pieces of any size. Events are numbered from 1 to last.
 type serverModel struct {
 	t       *rapid.T
 	last    int
@@ -92,7 +92,8 @@
 	})
 }
 
-// normalizeLineEnds normalizes line ends: a continuation may start between the two bytes of a CRLF.
+// normalizeLineEnds normalizes line ends: a continuation may start between the two bytes of a
+// CRLF.
 var normalizeLineEnds = strings.NewReplacer("\r\n", "\n", "\r", "\n")
 
 // feed passes the text to the follower in pieces of random size.
--- a/coordination/freshness/freshness.go
+++ b/coordination/freshness/freshness.go
@@ -1,10 +1,10 @@
 // Package freshness decides whether a router may serve requests that need a
-// key: only while its configuration is confirmed to have been the newest revision
-// at a sufficiently recent time.
+// key: only while its configuration is confirmed to have been the newest
+// revision at a sufficiently recent time.
 //
-// The types do no I/O and read no clock. All times are readings of one clock that
-// keeps running while the process or its instance is suspended, so that a router
-// detects after a suspension that its configuration is stale.
+// The types do no I/O and read no clock. All times are readings of one clock
+// that keeps running while the process or its instance is suspended, so that a
+// router detects after a suspension that its configuration is stale.
 //
 // Direct routers use it.
 package freshness
@@ -27,8 +27,9 @@
 func New(bound time.Duration) *Tracker { return &Tracker{bound: bound} }
 
 // Confirm records that a linearizable read returned the configuration that the
-// router has adopted. The time counts at which the read was sent, not that of its
-// response: a change may have been committed while the response was in transit.
+// router has adopted. The time counts at which the read was sent, not that of
+// its response: a change may have been committed while the response was in
+// transit.
 func (t *Tracker) Confirm(sent time.Duration) {
 	if !t.confirmed || sent > t.confirmedAt {
 		t.confirmedAt, t.confirmed = sent, true
--- a/coordination/freshness/freshness_test.go
+++ b/coordination/freshness/freshness_test.go
@@ -41,8 +41,8 @@
 	qt.Check(t, tr.Fresh(12*time.Second), qt.IsTrue)
 }
 
-// A read by another router counts from when this router sent the message that the
-// other received before it read the store, however late its report arrives.
+// A read by another router counts from when this router sent the message that
+// the other received before it read the store, however late its report arrives.
 func TestWitnessUsesOwnClock(t *testing.T) {
 	tr, w := New(bound), &Witness{}
 	w.Sent(1, 10*time.Second)
--- a/coordination/freshness/witness.go
+++ b/coordination/freshness/witness.go
@@ -3,11 +3,11 @@
 import "time"
 
 // Witness lets a router use the store reads of other routers to confirm its own
-// configuration. A router that reads the store reports the latest message of this
-// router that it received before the read. This router knows by its own clock when
-// it sent that message, and the read was sent later than that. So no clocks of
-// different routers are compared, and a report that waits unread in a socket
-// buffer confirms no more than when it was sent.
+// configuration. A router that reads the store reports the latest message of
+// this router that it received before the read. This router knows by its own
+// clock when it sent that message, and the read was sent later than that. So no
+// clocks of different routers are compared, and a message that waits unread in a
+// socket buffer confirms no more than when it was sent.
 type Witness struct {
 	sent [rememberedMessages]sentMessage
 }
@@ -27,7 +27,7 @@
 	w.sent[seq%rememberedMessages] = sentMessage{seq: seq, at: now}
 }
 
-// Heard returns when the message with the sequence number was sent, and whether
+// SentAt returns when the message with the sequence number was sent, and whether
 // that is still known.
 func (w *Witness) SentAt(seq uint32) (time.Duration, bool) {
 	s := w.sent[seq%rememberedMessages]
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -100,9 +100,9 @@
 // New returns a tracker of a healthy server. The config must be valid.
 func New(cfg Config) *Tracker { return &Tracker{cfg: cfg} }
 
-// Record counts the result of a request that is not a probe. Results that arrive
-// while the server is ejected are ignored: they belong to requests that were sent
-// before the ejection.
+// Record counts the result of a request that is not a probe. Results that
+// arrive while the server is ejected are ignored: they belong to requests that
+// were sent before the ejection.
 func (t *Tracker) Record(r Result) {
 	if r == NoResult || t.ejected {
 		return
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -35,8 +35,8 @@
 	cfg   Config
 	rng   *rand.Rand
 	phase Phase
-	// validUntil is the time until which the lease is certainly valid. It counts from
-	// when the last successful renewal was sent.
+	// validUntil is the time until which the lease is certainly valid. It counts
+	// from when the last successful renewal was sent.
 	validUntil time.Time
 	// lastTick is the time of the last tick, nextCall that of the next call.
 	lastTick time.Time
@@ -110,8 +110,8 @@
 	return Acquire{Fresh: s.phase == Suspect || s.phase == Standby}
 }
 
-// confirmLease handles a response that confirms the lease as of the time its call was
-// sent. A response that arrives after the TTL is disregarded.
+// confirmLease handles a response that confirms the lease as of the time its
+// call was sent. A response that arrives after the TTL is disregarded.
 func (s *State) confirmLease(now, sent time.Time) {
 	valid := sent.Add(s.cfg.TTL)
 	if !now.Before(valid) {
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -64,8 +64,8 @@
 	c.Assert(s.MayStart(at(100*time.Second)), qt.IsTrue)
 }
 
-// Guards against accepting a renewal after a suspension if it was sent before it:
-// another process may have acquired the slot since.
+// Guards against accepting a renewal after a suspension if it was sent before
+// it: another process may have acquired the slot since.
 func TestRenewalSentBeforeSuspensionIsDisregarded(t *testing.T) {
 	c := qt.New(t)
 	s := acquiredState(c)
--- a/coordination/leave/leave.go
+++ b/coordination/leave/leave.go
@@ -71,14 +71,15 @@
 // Event is an input of State.Step.
 type Event interface{ isEvent() }
 
-// Asked is the first request to shut down.
+// StopRequested is the first request to shut down.
 type StopRequested struct{}
 
-// AskedAgain is a second request to shut down, which ends the requests in flight
-// at once.
+// StopRequestedAgain is a second request to shut down, which ends the requests
+// in flight at once.
 type StopRequestedAgain struct{}
 
-// Ticked reports the current time. Held is the number of requests in flight.
+// Ticked reports the current time. InFlight is the number of requests in
+// flight.
 type Ticked struct{ InFlight int }
 
 func (StopRequested) isEvent()      {}
--- a/coordination/limit/config.go
+++ b/coordination/limit/config.go
@@ -21,30 +21,30 @@
 	// Max is the upper bound of the limit and its initial value, in requests.
 	// Default 8.
 	Max int
-	// First is the target for the 95th percentile of the time to the first
-	// token. Default 970ms.
+	// FirstTokenTarget is the target for the 95th percentile of the time to the
+	// first token. Default 970ms.
 	FirstTokenTarget time.Duration
-	// Gap is the target for the 95th percentile of the time between tokens.
-	// Default 50ms.
+	// TokenGapTarget is the target for the 95th percentile of the time between
+	// tokens. Default 50ms.
 	TokenGapTarget time.Duration
 	// MinSamples is the number of samples that a percentile needs to be used.
 	// Default 20.
 	MinSamples int
-	// Settle is the number of windows after a change of the limit in which it
-	// is not changed again, because measurements and reports lag. It must cover
-	// the lag of the engine's report. Default 3.
+	// SettleWindows is the number of windows after a change of the limit in which
+	// it is not changed again, because measurements and reports lag. It must
+	// cover the lag of the engine's report. Default 3.
 	SettleWindows int
 	// Headroom is the fraction of the targets below which the limit may rise.
 	// Default 0.9.
 	Headroom float64
-	// Deepest bounds one decrease: the limit is multiplied by at least this
-	// factor. Default 0.7.
+	// MinDecreaseFactor bounds one decrease: the limit is multiplied by at least
+	// this factor. Default 0.7.
 	MinDecreaseFactor float64
-	// Again is the number of windows after which a limit that exceeded a target
-	// may be tried again. Default 30.
+	// RetryWindows is the number of windows after which a limit that exceeded a
+	// target may be tried again. Default 30.
 	RetryWindows int
-	// Futile is the number of consecutive decreases without effect after which
-	// they are reverted. Default 2.
+	// MaxFutileDecreases is the number of consecutive decreases without effect
+	// after which they are reverted. Default 2.
 	MaxFutileDecreases int
 }
 
@@ -74,13 +74,13 @@
 	}
 	check(c.Min > 0, "Min must be positive")
 	check(c.Max >= c.Min, "Max must be at least Min")
-	check(c.FirstTokenTarget > 0, "First must be positive")
-	check(c.TokenGapTarget > 0, "Gap must be positive")
+	check(c.FirstTokenTarget > 0, "FirstTokenTarget must be positive")
+	check(c.TokenGapTarget > 0, "TokenGapTarget must be positive")
 	check(c.MinSamples > 0, "MinSamples must be positive")
-	check(c.SettleWindows >= 0, "Settle must not be negative")
+	check(c.SettleWindows >= 0, "SettleWindows must not be negative")
 	check(c.Headroom > 0 && c.Headroom < 1, "Headroom must lie in (0, 1)")
-	check(c.MinDecreaseFactor > 0 && c.MinDecreaseFactor < 1, "Deepest must lie in (0, 1)")
-	check(c.RetryWindows > 0, "Again must be positive")
-	check(c.MaxFutileDecreases > 0, "Futile must be positive")
+	check(c.MinDecreaseFactor > 0 && c.MinDecreaseFactor < 1, "MinDecreaseFactor must lie in (0, 1)")
+	check(c.RetryWindows > 0, "RetryWindows must be positive")
+	check(c.MaxFutileDecreases > 0, "MaxFutileDecreases must be positive")
 	return err
 }
--- a/coordination/limit/limit.go
+++ b/coordination/limit/limit.go
@@ -32,7 +32,8 @@
 type Limiter struct {
 	cfg   Config
 	limit int
-	// settleWindows is the number of windows left until the limit may change again.
+	// settleWindows is the number of windows left until the limit may change
+	// again.
 	settleWindows int
 	// tooHigh is the smallest limit known to exceed a target, 0 for none. It
 	// expires after tooHighWindows windows.
@@ -45,8 +46,8 @@
 	seriesStart     int
 	lastLoad        float64
 	futileDecreases int
-	// independentWindows is the number of windows left in which the load is taken not to
-	// depend on the limit.
+	// independentWindows is the number of windows left in which the load is taken
+	// not to depend on the limit.
 	independentWindows int
 }
 
@@ -104,8 +105,8 @@
 	return max(min(l.cfg.Max, r.Slots), l.cfg.Min)
 }
 
-// relativeLoad returns the load as a fraction of the target that is exceeded most or
-// closest to it, and whether there were enough samples.
+// relativeLoad returns the load as a fraction of the target that is exceeded
+// most or closest to it, and whether there were enough samples.
 func (l *Limiter) relativeLoad(w Window) (float64, bool) {
 	load, measured := 0.0, false
 	if w.Firsts >= l.cfg.MinSamples {
@@ -146,8 +147,8 @@
 	l.setLimit(max(min(int(float64(l.limit)*factor), l.limit-1), l.cfg.Min))
 }
 
-// minLoadReduction is the fraction by which a decrease of the limit must reduce the
-// load to count as effective.
+// minLoadReduction is the fraction by which a decrease of the limit must reduce
+// the load to count as effective.
 const minLoadReduction = 0.02
 
 // isFutile reports whether the latest consecutive decreases had no effect.
--- a/coordination/returning/returning.go
+++ b/coordination/returning/returning.go
@@ -1,6 +1,7 @@
-// Package returning estimates how long a caller has been waiting since its first
-// attempt, from the time left until its deadline: the callers of one route start
-// with the same timeout, and have less time left when they retry after a refusal.
+// Package returning estimates how long a caller has been waiting since its
+// first attempt, from the time left until its deadline: the callers of one
+// route start with the same timeout, and have less time left when they retry
+// after a refusal.
 //
 // A Tracker does no I/O and reads no clock. Direct routers use it.
 package returning
@@ -9,25 +10,25 @@
 
 // Config holds the parameters of a Tracker.
 type Config struct {
-	// Least is the shortest time that counts as a wait. A first attempt loses
+	// MinWait is the shortest time that counts as a wait. A first attempt loses
 	// some milliseconds while its connection is opened; a refused caller retries
 	// after 50 ms or more. Default 40ms.
 	MinWait time.Duration
-	// Memory is the length of a window of the timeout estimate. The estimate
+	// Window is the length of a window of the timeout estimate. The estimate
 	// must expire because a new configuration can shorten the timeout of a
 	// route's callers. Default 10s.
 	Window time.Duration
-	// Greatest is the longest wait that is accepted, as a fraction of the
+	// MaxWaitFraction is the longest wait that is accepted, as a fraction of the
 	// route's timeout. Default 2/3: callers retry within a third of the time
 	// that they have left.
 	MaxWaitFraction float64
-	// Telling is the largest fraction of a route's requests that may look like
-	// retries for the estimate to be used. Where callers have different
+	// MaxRetryFraction is the largest fraction of a route's requests that may
+	// look like retries for the estimate to be used. Where callers have different
 	// timeouts nearly all requests look like retries, and the time left says
 	// nothing about an earlier attempt. If each caller is refused once and
 	// retries, half of the requests are retries. Default 0.6.
 	MaxRetryFraction float64
-	// Enough is the number of requests from which that fraction is evaluated.
+	// MinSamples is the number of requests from which that fraction is evaluated.
 	// Default 20.
 	MinSamples int
 }
@@ -37,8 +38,8 @@
 	return Config{MinWait: 40 * time.Millisecond, Window: 10 * time.Second, MaxWaitFraction: 2.0 / 3, MaxRetryFraction: 0.6, MinSamples: 20}
 }
 
-// timeoutEstimate estimates the timeout of a route's callers as the longest time left in
-// the current and the previous window.
+// timeoutEstimate estimates the timeout of a route's callers as the longest
+// time left in the current and the previous window.
 type timeoutEstimate struct {
 	windowStart       time.Time
 	current, previous time.Duration
@@ -47,7 +48,8 @@
 	requests, retries [2]int
 }
 
-// isInformative reports whether the time left distinguishes retries from first attempts.
+// isInformative reports whether the time left distinguishes retries from first
+// attempts.
 func (e *timeoutEstimate) isInformative(cfg Config) bool {
 	requests, retries := e.requests[0]+e.requests[1], e.retries[0]+e.retries[1]
 	return requests < cfg.MinSamples || float64(retries) <= cfg.MaxRetryFraction*float64(requests)
@@ -72,8 +74,9 @@
 
 // Elapsed returns the estimated time since the caller's first attempt, 0 for a
 // first attempt or if it can't be estimated. The time left until the caller's
-// deadline is 0 if unknown. A request may have waited unread in the socket buffer
-// of this router for up to readDelay, which is no sign of an earlier attempt.
+// deadline is 0 if unknown. A request may have waited unread in the socket
+// buffer of this router for up to readDelay, which is no sign of an earlier
+// attempt.
 func (t *Tracker) Elapsed(now time.Time, route string, left, readDelay time.Duration) time.Duration {
 	if left <= 0 {
 		return 0
--- a/coordination/staleness/staleness.go
+++ b/coordination/staleness/staleness.go
@@ -22,7 +22,7 @@
 	// Bound is the time after which a server that shut down must receive no requests.
 	// Default 2s: the shortest that users require.
 	Bound time.Duration
-	// Way is the part of Bound that is reserved for sending a request to its server.
+	// TransitTime is the part of Bound that is reserved for sending a request to its server.
 	// Default 200ms.
 	TransitTime time.Duration
 	// Lead is how long before the view becomes too old it is refreshed from the store.
@@ -38,7 +38,7 @@
 // Validate returns an error if the bounds are inconsistent.
 func (c Config) Validate() error {
 	if c.TransitTime < 0 || c.Lead < 0 || c.Bound <= c.TransitTime+c.Lead {
-		return errors.New("Bound must be above the sum of Way and Lead, which must not be negative")
+		return errors.New("Bound must be above the sum of TransitTime and Lead, which must not be negative")
 	}
 	return nil
 }
@@ -49,7 +49,7 @@
 	// how long ago that view was confirmed as current.
 	Known bool
 	Age   time.Duration
-	// StoreAway reports whether the store responds neither to this router nor to the
+	// StoreUnreachable reports whether the store responds neither to this router nor to the
 	// routers that it receives gossip from.
 	StoreUnreachable bool
 	// Saturated reports whether the router has more work than its processor can handle.
@@ -61,13 +61,13 @@
 	SinceAnswer time.Duration
 }
 
-// Asks reports whether the store is to be read before a request is sent, or in parallel
+// NeedsRead reports whether the store is to be read before a request is sent, or in parallel
 // with it.
 func (c Config) NeedsRead(k Knowledge) bool {
 	return !k.StoreUnreachable && (!k.Known || k.Age > c.Bound-c.TransitTime-c.Lead)
 }
 
-// IsOld reports whether the view is too old to rely on.
+// IsStale reports whether the view is too old to rely on.
 func (c Config) IsStale(k Knowledge) bool { return !k.Known || k.Age > c.Bound-c.TransitTime }
 
 // IsBlind reports whether the router may send no requests to any server.
--- a/coordination/watchduty/watchduty.go
+++ b/coordination/watchduty/watchduty.go
@@ -1,9 +1,9 @@
 // Package watchduty decides which routers of a fleet poll the store for changes.
 //
 // Each call to the store costs money, and its rate limits grow more slowly than
-// the fleet. So a few routers, the watchers, poll the store and send updates to the
-// others. A router that receives no update in time polls the store itself, so that
-// no router depends on another.
+// the fleet. So a few routers, the watchers, poll the store and send updates to
+// the others. A router that receives no update in time polls the store itself,
+// so that no router depends on another.
 //
 // The package does no I/O. Direct routers use it.
 package watchduty
@@ -21,17 +21,17 @@
 	// Watchers is the number of routers that poll for all. Default 2: one may
 	// fail before its failure is detected.
 	Watchers int
-	// Patience is the staleness above which a router polls the store itself.
+	// MaxAge is the staleness above which a router polls the store itself.
 	// Default 2.5s: a watcher's update is up to 1.2 s old when it arrives, and
 	// the next one is due a second later. With 1.9s, 28 of 30 routers polled
 	// every other second under low load.
 	MaxAge time.Duration
-	// Silence is the time without an update from a watcher above which a router
-	// polls the store itself, even if its view is recent: the watchers may not
-	// have the router in their list, and then none sends it updates. Default
-	// 1.5s: a watcher sends an update each second or slightly later, and a
-	// server that shuts down must be known within 2 s. With 1.2s, 30 routers
-	// made 835 calls under low load, with 1.5s 470.
+	// UpdateTimeout is the time without an update from a watcher above which a
+	// router polls the store itself, even if its view is recent: the watchers may
+	// not have the router in their list, and then none sends it updates. Default
+	// 1.5s: a watcher sends an update each second or slightly later, and a server
+	// that shuts down must be known within 2 s. With 1.2s, 30 routers made 835
+	// calls under low load, with 1.5s 470.
 	UpdateTimeout time.Duration
 }
 
@@ -46,12 +46,12 @@
 	Known bool
 	// Age is how long ago the view was confirmed as current.
 	Age time.Duration
-	// Silent is the time since the last update from a watcher.
+	// SinceUpdate is the time since the last update from a watcher.
 	SinceUpdate time.Duration
 }
 
-// Asks reports whether the router polls the store now. The slice routers holds the
-// ids of all registered routers.
+// ShouldPoll reports whether the router polls the store now. The slice routers
+// holds the ids of all registered routers.
 func (c Config) ShouldPoll(self string, routers []string, k Knowledge) bool {
 	if !k.Known || k.Age > c.MaxAge || k.SinceUpdate > c.UpdateTimeout {
 		return true
@@ -71,8 +71,9 @@
 	return sorted[:min(len(sorted), c.Watchers)]
 }
 
-// compareByHash orders routers by the hash of their ids. The ids begin with the name of
-// a data centre, so that an order by id would choose all watchers from one.
+// compareByHash orders routers by the hash of their ids. The ids begin with the
+// name of a data centre, so that an order by id would choose all watchers from
+// one.
 func compareByHash(a, b string) int {
 	return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 }
--- a/coordination/watchduty/watchduty_test.go
+++ b/coordination/watchduty/watchduty_test.go
@@ -8,11 +8,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// recentView is a view that was current a second ago, with an update just received.
+// recentView is a view that was current a second ago, with an update just
+// received.
 var recentView = Knowledge{Known: true, Age: time.Second}
 
-// In a fleet of any size the configured number of routers poll the store while all
-// routers receive updates.
+// In a fleet of any size the configured number of routers poll the store while
+// all routers receive updates.
 func TestConfiguredNumberOfRoutersPolls(t *testing.T) {
 	cfg := DefaultConfig()
 	for _, n := range []int{1, 2, 3, 30, 300} {
@@ -45,11 +46,12 @@
 	qt.Check(t, cfg.ShouldPoll("e", nil, recentView), qt.IsTrue)
 }
 
-// Guards against a router that learns too late that a server shuts down. A router
-// was partitioned for so long that its entry expired. The others didn't have it in
-// their list and sent it no updates, while it reached the store again but polled it
-// only now and then. It was found by the check DRAIN on lanna-glyph trouble-1: the
-// router learnt of the shutdown after 2.1 s; the bound is 2 s.
+// Guards against a router that learns too late that a server shuts down. A
+// router was partitioned for so long that its entry expired. The others didn't
+// have it in their list and sent it no updates, while it reached the store
+// again but polled it only now and then. It was found by DRAIN on
+// lanna-glyph trouble-1: the router learnt of the shutdown after 2.1 s; the
+// bound is 2 s.
 func TestRouterWithoutUpdatesPolls(t *testing.T) {
 	cfg, routers := DefaultConfig(), []string{"a", "b", "c", "d"}
 	for _, self := range routers {
