--- a/coordination/share/property_test.go
+++ b/coordination/share/property_test.go
@@ -27,7 +27,7 @@
 		const duration, maxCost, lookAhead = 20 * time.Second, 0.5, 1
 		teams := rapid.IntRange(2, 4).Draw(t, "teams")
 		sc := scenario{
-			sidecars: rapid.IntRange(1, 3).Draw(t, "cores"),
+			sidecars: rapid.IntRange(1, 3).Draw(t, "sidecars"),
 			slots:    rapid.IntRange(1, 3).Draw(t, "slots"),
 			seed:     rapid.Uint64().Draw(t, "seed"),
 			light:    rapid.IntRange(0, 3).Draw(t, "light"),
