--- a/transport/router/attempt.go
+++ b/transport/router/attempt.go
@@ -13,46 +13,49 @@
 	"goldcrestport/protocol/wire"
 )
 
-// Bounds of the exchange with one sidecar.
+// Limits of the exchange with one sidecar.
 const (
-	// bodyPart is the size of one request body message at most, in bytes.
-	bodyPart = 1 << 20
-	// settleTimeout bounds one question about an attempt.
+	// maxBodyMessage is the maximum size of one request body message, in bytes.
+	maxBodyMessage = 1 << 20
+	// settleTimeout bounds one settle query about an attempt.
 	settleTimeout = time.Second
-	// cancelTimeout bounds the wait for a sidecar to hear of a cancel.
+	// cancelTimeout is how long a stream stays open after the caller is gone, so
+	// that the cancel message can reach the sidecar.
 	cancelTimeout = time.Second
-	// lateBound is how long after its deadline a request is still held, so
-	// that the sidecar's own end can arrive.
-	lateBound = 2 * time.Second
+	// deadlineGrace is how long after the request's deadline the stream stays
+	// open, so that the end message of the sidecar can still arrive.
+	deadlineGrace = 2 * time.Second
 )
 
-// flight is one attempt that was sent.
-type flight struct {
+// sentAttempt is one attempt that was sent to a sidecar.
+type sentAttempt struct {
 	c    *call
 	addr string
-	// attempt names the attempt and the incarnation that it was sent to.
+	// attempt identifies the attempt and the sidecar incarnation that it was
+	// sent to.
 	attempt *wire.Attempt
 	sent    time.Time
 }
 
-// result is how one stream of an attempt ended.
-type result struct {
+// streamResult describes how one stream of an attempt ended.
+type streamResult struct {
 	state relayState
-	// sent is false if the start was certainly not sent.
+	// sent is false only if the start message was certainly not sent.
 	sent bool
 }
 
-// try sends one attempt and brings it to its end. It returns true if the
-// request must be dispatched again.
-func (r *Router) try(ctx context.Context, c *call, d decision) (outcome.Outcome, bool) {
+// runAttempt sends one attempt and follows it until it ends. It returns true
+// if the request must be dispatched again.
+func (r *Router) runAttempt(ctx context.Context, c *call, d decision) (outcome.Outcome, bool) {
 	if !time.Now().Before(c.request.Deadline) {
-		// A router that was frozen wakes with old decisions. A start now would
-		// be cut off at once, and nobody could say whether it ran.
-		return notRunUnless(c, outcome.Refuse(outcome.ReasonDeadline, http.StatusServiceUnavailable, retryAfterLost,
+		// A router process that was frozen resumes with stale decisions. An
+		// attempt that starts now would be cancelled at once, with no way to
+		// tell whether it ran.
+		return unknownIfMayHaveRun(c, outcome.Refuse(outcome.ReasonDeadline, http.StatusServiceUnavailable, retryAfterNotRun,
 			"the deadline passed before the request was sent")), false
 	}
 	c.attempts++
-	f := &flight{
+	f := &sentAttempt{
 		c:       c,
 		addr:    d.addr,
 		attempt: &wire.Attempt{RequestId: c.id, Number: c.attempts, Incarnation: d.incarnation},
@@ -64,17 +67,17 @@
 	start.Pull = d.send.Pull
 	start.Revision = r.revision()
 	start.DeadlineMs = max(time.Until(c.request.Deadline).Milliseconds(), 1)
-	c.trail.sent(start, d.send.Sidecar)
-	defer c.trail.returned()
+	c.observer.sent(start, d.send.Sidecar)
+	defer c.observer.returned()
 	res := r.stream(ctx, f, start, c.body)
 	for {
 		switch res.state {
 		case relayDeclined:
 			return outcome.Outcome{}, true
 		case relayCallerGone:
-			return abandoned(ctx), false
+			return cancelledOutcome(ctx), false
 		case relayEnded:
-			return r.concluded(c)
+			return r.endedOutcome(c)
 		}
 		act := r.settle(ctx, f, res)
 		switch act := act.(type) {
@@ -84,9 +87,9 @@
 			return outcome.Outcome{}, true
 		case attempt.Finish:
 			if ctx.Err() != nil {
-				return abandoned(ctx), false
+				return cancelledOutcome(ctx), false
 			}
-			return broken(act), false
+			return finishOutcome(act), false
 		}
 	}
 }
@@ -95,34 +98,34 @@
 	return &wire.RunStart{Attempt: start.Attempt, Router: start.Router, Resume: true, FromOffset: offset}
 }
 
-// abandoned is the outcome of an attempt that was given up while it ran,
-// since its caller left or the router's stop bound passed.
-func abandoned(ctx context.Context) outcome.Outcome {
-	if errors.Is(context.Cause(ctx), errLeaving) {
+// cancelledOutcome returns the outcome of an attempt that was cancelled while
+// it ran, because its caller disconnected or the router's stop bound passed.
+func cancelledOutcome(ctx context.Context) outcome.Outcome {
+	if errors.Is(context.Cause(ctx), errStopping) {
 		return outcome.Outcome{
 			Kind:   outcome.Unknown,
 			Reason: outcome.ReasonLeaving,
 			Status: http.StatusBadGateway,
-			Detail: "the router stopped while the request ran",
+			Detail: "the router shut down while the request ran",
 		}
 	}
 	return outcome.Outcome{
 		Kind:   outcome.Unknown,
 		Reason: outcome.ReasonCancelled,
 		Status: statusClientClosed,
-		Detail: "the caller went away while the request ran",
+		Detail: "the caller disconnected while the request ran",
 	}
 }
 
-// stream opens one stream of the attempt and relays what comes.
-func (r *Router) stream(ctx context.Context, f *flight, start *wire.RunStart, body []byte) result {
-	// The stream outlives the caller's context for as long as it takes to
-	// tell the sidecar: a link that just ends would leave the run going.
-	sctx, cancel := context.WithDeadline(r.ctx, f.c.request.Deadline.Add(lateBound))
+// stream opens one stream of the attempt and relays its messages.
+func (r *Router) stream(ctx context.Context, f *sentAttempt, start *wire.RunStart, body []byte) streamResult {
+	// The stream outlives the caller's context until a cancel message is sent
+	// to the sidecar: the run would go on if the link just closed.
+	sctx, cancel := context.WithDeadline(r.ctx, f.c.request.Deadline.Add(deadlineGrace))
 	defer cancel()
 	s, err := r.pool.Sidecar(sctx, f.addr).Run(sctx)
 	if err != nil {
-		return result{state: relayBroken, sent: start.Resume}
+		return streamResult{state: relayBroken, sent: start.Resume}
 	}
 	defer s.Close()
 	watch := r.watchSilence(f, cancel)
@@ -133,28 +136,29 @@
 	})
 	defer stop()
 	if sendStart(s, start, body) != nil {
-		return result{state: goneOr(ctx, relayBroken), sent: true}
+		return streamResult{state: callerGoneOr(ctx, relayBroken), sent: true}
 	}
-	return result{state: r.relay(ctx, f, s, watch), sent: true}
+	return streamResult{state: r.relay(ctx, f, s, watch), sent: true}
 }
 
-// goneOr returns relayCallerGone if the caller has left, else the state.
-func goneOr(ctx context.Context, s relayState) relayState {
+// callerGoneOr returns relayCallerGone if ctx has ended, else s.
+func callerGoneOr(ctx context.Context, s relayState) relayState {
 	if ctx.Err() != nil {
 		return relayCallerGone
 	}
 	return s
 }
 
-// sendStart sends the start and the body.
+// sendStart sends the start message with the beginning of the body, then the
+// rest of the body in messages of at most maxBodyMessage bytes.
 func sendStart(s wire.DRPCSidecar_RunClient, start *wire.RunStart, body []byte) error {
-	first := min(len(body), bodyPart)
+	first := min(len(body), maxBodyMessage)
 	start.Body, start.BodyRest = body[:first], int64(len(body)-first)
 	if err := s.Send(&wire.RunUp{Kind: &wire.RunUp_Start{Start: start}}); err != nil {
 		return err
 	}
 	for rest := body[first:]; len(rest) > 0; {
-		n := min(len(rest), bodyPart)
+		n := min(len(rest), maxBodyMessage)
 		up := &wire.RunUp{Kind: &wire.RunUp_Body{Body: &wire.RunBody{Data: rest[:n]}}}
 		if err := s.Send(up); err != nil {
 			return err
@@ -164,16 +168,16 @@
 	return nil
 }
 
-// relay passes what the stream brings to the caller until it ends.
-func (r *Router) relay(ctx context.Context, f *flight, s wire.DRPCSidecar_RunClient, watch *silence) relayState {
+// relay passes the messages of the stream to the caller until it ends.
+func (r *Router) relay(ctx context.Context, f *sentAttempt, s wire.DRPCSidecar_RunClient, watch *silenceWatch) relayState {
 	for {
 		watch.arm(f.c.relay.offset)
 		down, err := s.Recv()
 		watch.disarm()
 		if err != nil {
-			return goneOr(ctx, relayBroken)
+			return callerGoneOr(ctx, relayBroken)
 		}
-		state := f.c.relay.take(down)
+		state := f.c.relay.handle(down)
 		if state == relayCallerGone {
 			_ = s.Send(&wire.RunUp{Kind: &wire.RunUp_Cancel{Cancel: &wire.RunCancel{}}})
 		}
@@ -186,12 +190,12 @@
 	}
 }
 
-// concluded turns the attempt's end into the outcome. It returns true if the
-// request must be dispatched again.
-func (r *Router) concluded(c *call) (outcome.Outcome, bool) {
+// endedOutcome maps the attempt's end message to an outcome. It returns true
+// if the request must be dispatched again.
+func (r *Router) endedOutcome(c *call) (outcome.Outcome, bool) {
 	end := c.relay.end
 	kind := outcome.Kind(end.Outcome)
-	if kind == outcome.Completed && c.relay.whole() {
+	if kind == outcome.Completed && c.relay.complete() {
 		return outcome.Outcome{Kind: outcome.Completed, Status: http.StatusOK}, false
 	}
 	reason := outcome.Reason(end.Reason)
@@ -202,18 +206,19 @@
 	case kind == outcome.Unknown && reason == outcome.ReasonBackend:
 		act = c.core.Step(time.Now(), attempt.BackendUnknown{Delivered: c.relay.wrote})
 	case kind == outcome.NotRun && !c.relay.wrote:
-		return notRunUnless(c, outcome.Refuse(reason, http.StatusServiceUnavailable, retryAfterLost, "the request was not sent to the backend server")), false
+		return unknownIfMayHaveRun(c, outcome.Refuse(reason, http.StatusServiceUnavailable, retryAfterNotRun, "the request was not sent to the backend server")), false
 	default:
-		return cutShort(kind, reason), false
+		return incompleteOutcome(kind, reason), false
 	}
 	if _, again := act.(attempt.Redispatch); again {
 		return outcome.Outcome{}, true
 	}
-	return broken(act.(attempt.Finish)), false
+	return finishOutcome(act.(attempt.Finish)), false
 }
 
-// cutShort is the outcome of an attempt that ran and gave no whole answer.
-func cutShort(kind outcome.Kind, reason outcome.Reason) outcome.Outcome {
+// incompleteOutcome returns the outcome of an attempt that ran without a
+// complete answer.
+func incompleteOutcome(kind outcome.Kind, reason outcome.Reason) outcome.Outcome {
 	if kind != outcome.Unknown {
 		kind = outcome.Failed
 	}
@@ -225,24 +230,25 @@
 		Kind:   kind,
 		Reason: reason,
 		Status: status,
-		Detail: "the backend server did not give a whole answer",
+		Detail: "the backend server did not send a complete answer",
 	}
 }
 
-// retryAfterLost is the hint after a request was proven not to have run.
-const retryAfterLost = time.Second
+// retryAfterNotRun is the Retry-After hint for a request that certainly did not
+// run.
+const retryAfterNotRun = time.Second
 
-// broken is the outcome that the core decided on.
-func broken(f attempt.Finish) outcome.Outcome {
+// finishOutcome returns the outcome for the core's decision to finish.
+func finishOutcome(f attempt.Finish) outcome.Outcome {
 	reason, detail := outcome.ReasonLinkLost, "the link to the backend server was lost"
 	switch f.Cause {
 	case attempt.AnswerLost:
-		reason, detail = outcome.ReasonAnswerLost, "the request ran, but its answer is not kept any more"
+		reason, detail = outcome.ReasonAnswerLost, "the request ran, but its answer is no longer stored"
 	case attempt.BackendServer:
-		reason, detail = outcome.ReasonBackend, "the backend server gave no answer"
+		reason, detail = outcome.ReasonBackend, "the backend server sent no answer"
 	}
 	if f.Kind == attempt.WasNotRun {
-		return outcome.Refuse(reason, http.StatusServiceUnavailable, retryAfterLost, detail+"; the request was not run")
+		return outcome.Refuse(reason, http.StatusServiceUnavailable, retryAfterNotRun, detail+"; the request was not run")
 	}
 	return outcome.Outcome{
 		Kind:   outcome.Unknown,
--- a/transport/router/attempt_test.go
+++ b/transport/router/attempt_test.go
@@ -12,8 +12,9 @@
 	"goldcrestport/protocol/wire"
 )
 
-// A decision that comes after the deadline, as in a router that was frozen,
-// starts nothing. The router of this test has no way to a sidecar.
+// Guards against starting an attempt after the request's deadline: a router
+// process that was frozen resumes with a stale decision. The router of this test
+// cannot reach a sidecar.
 func TestLateDecisionStartsNothing(t *testing.T) {
 	c := qt.New(t)
 	late := &call{
@@ -22,7 +23,7 @@
 		request: dispatch.Request{ID: "r", Deadline: time.Now()},
 	}
 	late.core = late.newCore()
-	o, again := (&Router{}).try(context.Background(), late, decision{send: &dispatch.Send{ID: "r", Sidecar: "s"}})
+	o, again := (&Router{}).runAttempt(context.Background(), late, decision{send: &dispatch.Send{ID: "r", Sidecar: "s"}})
 	c.Assert(again, qt.IsFalse)
 	c.Assert(o.Kind, qt.Equals, outcome.NotRun)
 	c.Assert(o.Reason, qt.Equals, outcome.ReasonDeadline)
--- a/transport/router/bodies.go
+++ b/transport/router/bodies.go
@@ -9,19 +9,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// bodyStep is the least memory that is taken for a body of unknown length, in
-// bytes.
-const bodyStep = 64 << 10
+// minBodyBuffer is the initial buffer size for a request body, in bytes; a
+// body whose maximum length is known to be shorter gets a smaller one.
+const minBodyBuffer = 64 << 10
 
-// errBodiesFull means that the memory for request bodies is used up.
-var errBodiesFull = errors.New("the memory for request bodies is used up")
+// errBodiesFull means that the memory budget for request bodies is exhausted.
+var errBodiesFull = errors.New("the memory budget for request bodies is exhausted")
 
-// errBodyTooLarge means that a body passes the bound of one body.
+// errBodyTooLarge means that a body exceeds the maximum size of one body.
 var errBodyTooLarge = errors.New("the body is too large")
 
-// bodies bounds the memory of the request bodies that the router holds, in
-// total and for one team.
-type bodies struct {
+// bodyBudget limits the memory of the request bodies in the router, in total
+// and for one team.
+type bodyBudget struct {
 	mu      sync.Mutex
 	used    int64
 	limit   int64
@@ -30,12 +30,13 @@
 	gauge   *expvar.Int
 }
 
-func newBodies(limit int64, gauge *expvar.Int) *bodies {
-	return &bodies{limit: limit, perTeam: limit / 2, teams: map[string]int64{}, gauge: gauge}
+func newBodyBudget(limit int64, gauge *expvar.Int) *bodyBudget {
+	return &bodyBudget{limit: limit, perTeam: limit / 2, teams: map[string]int64{}, gauge: gauge}
 }
 
-// take reserves n bytes for the team or reports that there is no room.
-func (b *bodies) take(team string, n int64) bool {
+// reserve reserves n bytes for the team; it returns false if the budget does
+// not allow it.
+func (b *bodyBudget) reserve(team string, n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.used+n > b.limit || b.teams[team]+n > b.perTeam {
@@ -47,7 +48,7 @@
 	return true
 }
 
-func (b *bodies) give(team string, n int64) {
+func (b *bodyBudget) release(team string, n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.used -= n
@@ -58,47 +59,47 @@
 	b.gauge.Set(b.used)
 }
 
-// heldBody is the body of one request with its reserved memory.
-type heldBody struct {
-	from *bodies
-	team string
-	data []byte
-	held int64
+// requestBody is the body of one request with its reserved memory.
+type requestBody struct {
+	budget   *bodyBudget
+	team     string
+	data     []byte
+	reserved int64
 }
 
-// release gives the memory back.
-func (h *heldBody) release() {
-	if h.held > 0 {
-		h.from.give(h.team, h.held)
-		h.held = 0
+// release returns the reserved memory to the budget.
+func (h *requestBody) release() {
+	if h.reserved > 0 {
+		h.budget.release(h.team, h.reserved)
+		h.reserved = 0
 	}
 }
 
-// grow makes room up to the size.
-func (h *heldBody) grow(size int64) error {
-	if !h.from.take(h.team, size-h.held) {
+// grow reserves memory up to size and enlarges the buffer to it.
+func (h *requestBody) grow(size int64) error {
+	if !h.budget.reserve(h.team, size-h.reserved) {
 		return errBodiesFull
 	}
-	h.held = size
+	h.reserved = size
 	data := make([]byte, len(h.data), size)
 	copy(data, h.data)
 	h.data = data
 	return nil
 }
 
-// read reads the whole body. Memory is reserved as the body arrives, so that
-// a caller who announces much and sends little holds little.
-func (h *heldBody) read(body io.Reader, length, limit int64) error {
+// read reads the whole body. Memory is reserved as the body arrives, so that a
+// caller that declares a large length and sends little occupies little memory.
+func (h *requestBody) read(body io.Reader, length, limit int64) error {
 	if length > limit {
 		return errBodyTooLarge
 	}
 	if length < 0 {
-		// One more byte than allowed tells that the body is too large.
+		// Reading one byte more than allowed detects a body that is too large.
 		length = limit + 1
 	}
 	for int64(len(h.data)) < length {
 		if len(h.data) == cap(h.data) {
-			if err := h.grow(min(max(int64(2*cap(h.data)), bodyStep), length)); err != nil {
+			if err := h.grow(min(max(int64(2*cap(h.data)), minBodyBuffer), length)); err != nil {
 				return err
 			}
 		}
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// hasBody reports whether there is anything to read.
+// hasBody reports whether the request may have a body.
 func hasBody(req *http.Request) bool {
 	return req.ContentLength != 0 && req.Body != nil && req.Body != http.NoBody
 }
--- a/transport/router/call.go
+++ b/transport/router/call.go
@@ -13,32 +13,32 @@
 	"goldcrestport/protocol/wire"
 )
 
-// decisionRing holds the decisions that may be on the way to one request.
-const decisionRing = 4
+// decisionQueueSize is the capacity of one request's channel of decisions.
+const decisionQueueSize = 4
 
-// call is one caller's request while the router holds it.
+// call is one caller's request while it is in flight in the router.
 type call struct {
 	id        string
 	request   dispatch.Request
 	start     *wire.RunStart
 	body      []byte
 	decisions chan decision
-	began     time.Time
-	// settle is called with the outcome before the caller is told; nil if no
-	// key is claimed.
-	settle func(outcome.Outcome)
-	// run is the context of the run if it does not end with the caller's.
-	run context.Context
+	started   time.Time
+	// onOutcome is called with the outcome before it is written to the caller;
+	// nil if no idempotency key is claimed.
+	onOutcome func(outcome.Outcome)
+	// runCtx is the context of the run if it outlives the caller's.
+	runCtx context.Context
 
-	// core decides how the request goes on when an attempt breaks off.
+	// core decides how the request continues when an attempt is interrupted.
 	core *attempt.State
-	// attempts that were made; the last one's number.
+	// attempts is the number of attempts sent, and the number of the last one.
 	attempts uint32
 	relay    *relay
-	trail    *trail
+	observer *requestObserver
 }
 
-// newCore returns the state of the request's decisions.
+// newCore returns the state machine that decides on the request's attempts.
 func (c *call) newCore() *attempt.State {
 	return attempt.New(attempt.DefaultConfig(), attempt.Request{
 		Idempotent: c.start.Idempotent,
@@ -46,50 +46,52 @@
 	})
 }
 
-// serve brings the request to its one outcome.
+// serve dispatches the request until it has its one outcome.
 func (r *Router) serve(ctx context.Context, w http.ResponseWriter, c *call) {
 	c.core = c.newCore()
 	c.relay = newRelay(w, c.id, r.metrics)
-	c.relay.trail = c.trail
+	c.relay.observer = c.observer
 	r.dispatcher.post(r.ctx, message{call: c, event: dispatch.Arrived{Request: c.request}})
 	for {
 		select {
 		case <-ctx.Done():
 			r.dispatcher.post(r.ctx, message{event: dispatch.Cancelled{ID: c.id}})
-			r.finish(w, c, gaveUp(ctx, c))
+			r.finish(w, c, queueCancelledOutcome(ctx, c))
 			return
 		case d := <-c.decisions:
 			if d.refuse != nil {
-				r.finish(w, c, notRunUnless(c, refusal(*d.refuse)))
+				r.finish(w, c, unknownIfMayHaveRun(c, refusal(*d.refuse)))
 				return
 			}
-			o, again := r.try(c.runContext(ctx), c, d)
+			o, again := r.runAttempt(c.runContext(ctx), c, d)
 			if again {
-				r.dispatcher.post(r.ctx, message{event: c.again(d)})
+				r.dispatcher.post(r.ctx, message{event: c.redispatchEvent(d)})
 				continue
 			}
-			r.ended(c, d, o)
+			r.reportEnd(c, d, o)
 			r.finish(w, c, o)
 			return
 		}
 	}
 }
 
-// statusClientClosed is logged when the caller left; nobody receives it.
+// statusClientClosed is logged for a caller that disconnected; it is never
+// received by anyone.
 const statusClientClosed = 499
 
-// gaveUp is the outcome of a request that waited when its context ended. If
-// the caller left, nobody receives it; it is counted and logged.
-func gaveUp(ctx context.Context, c *call) outcome.Outcome {
-	if errors.Is(context.Cause(ctx), errLeaving) {
-		return notRunUnless(c, outcome.Refuse(outcome.ReasonLeaving, http.StatusServiceUnavailable, retryAfterLost, "this router stops"))
+// queueCancelledOutcome returns the outcome of a request whose context ended
+// while it was queued. If the caller disconnected, the outcome is only counted
+// and logged.
+func queueCancelledOutcome(ctx context.Context, c *call) outcome.Outcome {
+	if errors.Is(context.Cause(ctx), errStopping) {
+		return unknownIfMayHaveRun(c, outcome.Refuse(outcome.ReasonLeaving, http.StatusServiceUnavailable, retryAfterNotRun, "this router is shutting down"))
 	}
-	return notRunUnless(c, outcome.Refuse(outcome.ReasonCancelled, statusClientClosed, 0, "the caller went away"))
+	return unknownIfMayHaveRun(c, outcome.Refuse(outcome.ReasonCancelled, statusClientClosed, 0, "the caller disconnected"))
 }
 
-// notRunUnless returns the refusal, or unknown if an earlier attempt of the
-// request may have run: only what is proven may be called not-run.
-func notRunUnless(c *call, o outcome.Outcome) outcome.Outcome {
+// unknownIfMayHaveRun returns the refusal o, or unknown if an earlier attempt of
+// the request may have run: not-run is reported only when it is certain.
+func unknownIfMayHaveRun(c *call, o outcome.Outcome) outcome.Outcome {
 	if !c.core.MayHaveRun() {
 		return o
 	}
@@ -101,7 +103,7 @@
 	}
 }
 
-// refusal turns the core's reason into an outcome.
+// refusal maps the dispatch core's reason to an outcome.
 func refusal(a dispatch.Refuse) outcome.Outcome {
 	switch a.Reason {
 	case dispatch.QueueFull:
@@ -109,26 +111,26 @@
 	case dispatch.DeadlinePassed:
 		return outcome.Refuse(outcome.ReasonDeadline, http.StatusServiceUnavailable, a.RetryAfter, "the deadline passed before a backend server was free")
 	case dispatch.WaitTooLong:
-		return outcome.Refuse(outcome.ReasonDeadline, http.StatusServiceUnavailable, a.RetryAfter, "the estimated wait passes the deadline")
+		return outcome.Refuse(outcome.ReasonDeadline, http.StatusServiceUnavailable, a.RetryAfter, "the estimated wait exceeds the deadline")
 	case dispatch.RetryDenied:
-		return outcome.Refuse(outcome.ReasonRetryBudget, http.StatusServiceUnavailable, a.RetryAfter, "too many attempts fail to try again")
+		return outcome.Refuse(outcome.ReasonRetryBudget, http.StatusServiceUnavailable, a.RetryAfter, "the retry budget is exhausted")
 	default:
 		return outcome.Refuse(outcome.ReasonNoBackend, http.StatusServiceUnavailable, a.RetryAfter, "no backend server is known")
 	}
 }
 
-// finish writes the outcome if the answer has not begun; an answer that was
-// cut short is aborted so that it never looks complete.
+// finish writes the outcome if the answer has not started; an interrupted
+// answer is aborted so that it never looks complete.
 func (r *Router) finish(w http.ResponseWriter, c *call, o outcome.Outcome) {
-	c.trail.ended(o)
-	if c.settle != nil {
-		c.settle(o)
+	c.observer.ended(o)
+	if c.onOutcome != nil {
+		c.onOutcome(o)
 	}
 	if o.Kind == outcome.Completed {
 		return
 	}
 	if c.relay.wrote {
-		// net/http's way to break an answer off; its server recovers it.
+		// net/http recovers this panic and aborts the response.
 		panic(http.ErrAbortHandler)
 	}
 	outcome.Write(w, c.id, o)
--- a/transport/router/callers.go
+++ b/transport/router/callers.go
@@ -16,23 +16,24 @@
 	"goldcrestport/state/config"
 )
 
-// comeBack is the hint for refusals that a moment may mend.
-const comeBack = time.Second
+// retryAfterRefusal is the Retry-After hint for refusals whose cause is likely
+// to be short-lived.
+const retryAfterRefusal = time.Second
 
-// bearer begins the value of an Authorization header.
-const bearer = "Bearer "
+// bearer is the scheme prefix of an Authorization header.
+const bearerPrefix = "Bearer "
 
 // callerHandler serves the callers' listener.
-func (r *Router) callerHandler() http.Handler { return http.HandlerFunc(r.receive) }
+func (r *Router) callerHandler() http.Handler { return http.HandlerFunc(r.handleRequest) }
 
-// receive brings one request to its one outcome.
-func (r *Router) receive(w http.ResponseWriter, req *http.Request) {
-	t := r.newTrail(req)
-	w = newPatientWriter(w, r.set.Limits.WriteTimeout.D())
+// handleRequest serves one request until it has its one outcome.
+func (r *Router) handleRequest(w http.ResponseWriter, req *http.Request) {
+	t := r.newObserver(req)
+	w = newDeadlineWriter(w, r.set.Limits.WriteTimeout.D())
 	w.Header().Set(headerRequestID, t.id)
-	held := heldBody{from: r.bodies}
-	defer held.release()
-	c, refused := r.admit(t, &held, w, req)
+	body := requestBody{budget: r.bodies}
+	defer body.release()
+	c, refused := r.admit(t, &body, w, req)
 	if refused != nil {
 		t.ended(*refused)
 		writeRefusal(w, t.id, *refused)
@@ -42,7 +43,8 @@
 	r.serveCall(t.ctx, w, c)
 }
 
-// writeRefusal writes a refusal with the headers that go with its status.
+// writeRefusal writes a refusal with the headers that its status or reason
+// requires.
 func writeRefusal(w http.ResponseWriter, id string, o outcome.Outcome) {
 	switch o.Status {
 	case http.StatusUnauthorized:
@@ -56,64 +58,64 @@
 	outcome.Write(w, id, o)
 }
 
-// admit checks the request in the order of what a check costs, and reads its
-// body.
-func (r *Router) admit(t *trail, held *heldBody, w http.ResponseWriter, req *http.Request) (*call, *outcome.Outcome) {
+// admit validates the request, cheapest checks first, and reads its body.
+func (r *Router) admit(t *requestObserver, body *requestBody, w http.ResponseWriter, req *http.Request) (*call, *outcome.Outcome) {
 	doc := r.doc.Load()
-	if refused := r.accepts(doc, req); refused != nil {
+	if refused := r.precheck(doc, req); refused != nil {
 		return nil, refused
 	}
 	to, refused := route(req)
 	if refused != nil {
 		return nil, refused
 	}
-	name, team, ok := r.tokens.of(doc, req)
+	name, team, ok := r.tokens.teamOf(doc, req)
 	if !ok {
 		return nil, refuse(outcome.ReasonUnauthorized, http.StatusUnauthorized, "no team has this bearer token")
 	}
-	t.team, held.team = name, name
+	t.team, body.team = name, name
 	opts, err := readOptions(req.Header, r.set.Limits.Deadline.D())
 	if err != nil {
 		return nil, refuse(outcome.ReasonBadHeader, http.StatusBadRequest, err.Error())
 	}
 	limit := r.set.Limits.Body.Bytes()
 	if to.kind == config.KindPlain {
-		service, refused := allowed(doc, team, to)
+		service, refused := authorize(doc, team, to)
 		if refused != nil {
 			return nil, refused
 		}
 		limit = bodyLimit(service, limit)
 	}
-	if refused := r.readBody(held, w, req, limit); refused != nil {
+	if refused := r.readBody(body, w, req, limit); refused != nil {
 		return nil, refused
 	}
 	if to.kind == config.KindModel {
-		if to.service, err = modelOf(held.data); err != nil {
+		if to.service, err = modelOf(body.data); err != nil {
 			return nil, refuse(outcome.ReasonBadRequest, http.StatusBadRequest, err.Error())
 		}
 	}
-	service, refused := allowed(doc, team, to)
+	service, refused := authorize(doc, team, to)
 	if refused != nil {
 		return nil, refused
 	}
-	if int64(len(held.data)) > bodyLimit(service, limit) {
+	if int64(len(body.data)) > bodyLimit(service, limit) {
 		return nil, bodyRefusal(errBodyTooLarge)
 	}
 	t.service = to.service
-	return r.newCall(t, team, service, to, opts, req, held.data), nil
+	return r.newCall(t, team, service, to, opts, req, body.data), nil
 }
 
-// accepts refuses what no request of this kind may pass.
-func (r *Router) accepts(doc *config.Document, req *http.Request) *outcome.Outcome {
+// precheck refuses requests for reasons that need neither their route nor their
+// team.
+func (r *Router) precheck(doc *config.Document, req *http.Request) *outcome.Outcome {
 	var o outcome.Outcome
 	switch {
-	case isOver(req):
-		o = outcome.Refuse(outcome.ReasonConnections, http.StatusServiceUnavailable, comeBack, "too many connections are open")
-	case r.leaving.Load():
-		o = outcome.Refuse(outcome.ReasonLeaving, http.StatusServiceUnavailable, comeBack, "this router is leaving")
+	case isOverLimit(req):
+		o = outcome.Refuse(outcome.ReasonConnections, http.StatusServiceUnavailable, retryAfterRefusal, "too many connections are open")
+	case r.refusing.Load():
+		o = outcome.Refuse(outcome.ReasonLeaving, http.StatusServiceUnavailable, retryAfterRefusal, "this router is shutting down")
 	case doc == nil:
-		o = outcome.Refuse(outcome.ReasonNoConfig, http.StatusServiceUnavailable, comeBack, "no configuration yet")
-	case !headersFit(req.Header, r.set.Limits):
+		o = outcome.Refuse(outcome.ReasonNoConfig, http.StatusServiceUnavailable, retryAfterRefusal, "no configuration yet")
+	case !headersWithinLimits(req.Header, r.set.Limits):
 		return refuse(outcome.ReasonHeadersLarge, http.StatusRequestHeaderFieldsTooLarge, "the headers are too many or too large")
 	default:
 		return nil
@@ -124,11 +126,11 @@
 // tokens holds the token index of the configuration in force.
 type tokens struct{ index atomic.Pointer[config.Tokens] }
 
-// of finds the team of the request's bearer token. The index is made once for
-// each revision.
-func (t *tokens) of(doc *config.Document, req *http.Request) (string, config.Team, bool) {
+// teamOf looks up the team of the request's bearer token. The index is built
+// once per configuration revision.
+func (t *tokens) teamOf(doc *config.Document, req *http.Request) (string, config.Team, bool) {
 	auth := req.Header.Get("Authorization")
-	if len(auth) < len(bearer) || !strings.EqualFold(auth[:len(bearer)], bearer) {
+	if len(auth) < len(bearerPrefix) || !strings.EqualFold(auth[:len(bearerPrefix)], bearerPrefix) {
 		return "", config.Team{}, false
 	}
 	index := t.index.Load()
@@ -136,10 +138,10 @@
 		index = config.NewTokens(doc)
 		t.index.Store(index)
 	}
-	return index.Team(config.TokenDigest(auth[len(bearer):]))
+	return index.Team(config.TokenDigest(auth[len(bearerPrefix):]))
 }
 
-// bodyLimit returns the bound of one body for the service.
+// bodyLimit returns the maximum size of one body for the service.
 func bodyLimit(service config.Service, limit int64) int64 {
 	if service.MaxBody > 0 {
 		return min(service.MaxBody, limit)
@@ -147,14 +149,14 @@
 	return limit
 }
 
-// readBody reads the body within its bounds of memory and time.
-func (r *Router) readBody(held *heldBody, w http.ResponseWriter, req *http.Request, limit int64) *outcome.Outcome {
+// readBody reads the body within its memory and time limits.
+func (r *Router) readBody(body *requestBody, w http.ResponseWriter, req *http.Request, limit int64) *outcome.Outcome {
 	if !hasBody(req) {
 		return nil
 	}
 	ctl := http.NewResponseController(w)
 	_ = ctl.SetReadDeadline(time.Now().Add(r.set.Limits.BodyTimeout.D()))
-	if err := held.read(req.Body, req.ContentLength, limit); err != nil {
+	if err := body.read(req.Body, req.ContentLength, limit); err != nil {
 		return bodyRefusal(err)
 	}
 	_ = ctl.SetReadDeadline(time.Time{})
@@ -166,13 +168,13 @@
 	case errors.Is(err, errBodyTooLarge):
 		return refuse(outcome.ReasonTooLarge, http.StatusRequestEntityTooLarge, "the body is too large")
 	case errors.Is(err, errBodiesFull):
-		o := outcome.Refuse(outcome.ReasonBodiesFull, http.StatusServiceUnavailable, comeBack, "the memory for request bodies is used up")
+		o := outcome.Refuse(outcome.ReasonBodiesFull, http.StatusServiceUnavailable, retryAfterRefusal, "the memory budget for request bodies is exhausted")
 		return &o
 	case isTimeout(err):
-		o := outcome.Refuse(outcome.ReasonBodyTimeout, http.StatusRequestTimeout, comeBack, "the body came too slowly")
+		o := outcome.Refuse(outcome.ReasonBodyTimeout, http.StatusRequestTimeout, retryAfterRefusal, "the body was not received within the time limit")
 		return &o
 	default:
-		return refuse(outcome.ReasonBadRequest, http.StatusBadRequest, "the body was cut short")
+		return refuse(outcome.ReasonBadRequest, http.StatusBadRequest, "the body is incomplete")
 	}
 }
 
@@ -181,22 +183,23 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// newCall returns the admitted request as the dispatcher and sidecars see it.
-func (r *Router) newCall(t *trail, team config.Team, service config.Service, to target, opts options, req *http.Request, body []byte) *call {
+// newCall builds the call for an admitted request: what the dispatcher needs
+// and the start message for the sidecar.
+func (r *Router) newCall(t *requestObserver, team config.Team, service config.Service, to target, opts options, req *http.Request, body []byte) *call {
 	idempotent := !opts.nonIdempotent && !listedNonIdempotent(service, to.path)
 	return &call{
 		id:        t.id,
-		trail:     t,
+		observer:  t,
 		body:      body,
-		began:     t.began,
-		decisions: make(chan decision, decisionRing),
+		started:   t.started,
+		decisions: make(chan decision, decisionQueueSize),
 		request: dispatch.Request{
 			ID:             t.id,
 			Service:        to.service,
 			Team:           t.team,
 			Bytes:          int64(len(body)),
 			Estimate:       opts.estimate,
-			Deadline:       t.began.Add(opts.deadline),
+			Deadline:       t.started.Add(opts.deadline),
 			Idempotent:     idempotent,
 			Prefix:         prefix.Of(body),
 			MaxQueued:      team.MaxQueued,
@@ -208,7 +211,7 @@
 			Router:         r.set.ID,
 			Method:         req.Method,
 			Path:           to.path,
-			Headers:        passedHeaders(req.Header),
+			Headers:        forwardedHeaders(req.Header),
 			Idempotent:     idempotent,
 			IdempotencyKey: opts.key,
 			Estimate:       opts.estimate,
@@ -217,11 +220,12 @@
 	}
 }
 
-// listedNonIdempotent reports whether the configuration marks the path.
+// listedNonIdempotent reports whether the configuration lists the path as
+// non-idempotent.
 func listedNonIdempotent(service config.Service, path string) bool {
 	plain, _, _ := strings.Cut(path, "?")
-	// The path as the backend server reads it: escapes and repeated slashes
-	// must not hide that a call is listed.
+	// Normalise the path as backend servers do, so that escapes or repeated
+	// slashes cannot bypass the list.
 	if unescaped, err := url.PathUnescape(plain); err == nil {
 		plain = unescaped
 	}
--- a/transport/router/callers_test.go
+++ b/transport/router/callers_test.go
@@ -22,16 +22,16 @@
 	"goldcrestport/transport/platform"
 )
 
-// edge is a router's callers' listener before a dispatcher that refuses
-// everything as soon as it may.
-type edge struct {
+// callerEndpoint is a router's callers' listener with a fake dispatcher that
+// refuses every request once refuse is closed.
+type callerEndpoint struct {
 	router  *Router
 	addr    string
 	arrived chan *call
 	refuse  chan struct{}
 }
 
-// emptyStore is a key-value service that takes every write and holds nothing.
+// emptyStore is a key-value service that accepts every write and stores nothing.
 type emptyStore struct{ platform.Store }
 
 func (emptyStore) Get(context.Context, string) (platform.Entry, error) {
@@ -42,7 +42,7 @@
 	return version + 1, nil
 }
 
-func newEdge(c *quicktest.C, edit func(*settings.Router)) *edge {
+func newCallerEndpoint(c *quicktest.C, edit func(*settings.Router)) *callerEndpoint {
 	set := settings.DefaultRouter()
 	if edit != nil {
 		edit(&set)
@@ -63,19 +63,19 @@
 			"hidden": {Kind: config.KindPlain},
 		},
 	})
-	e := &edge{router: r, arrived: make(chan *call, 64), refuse: make(chan struct{})}
+	e := &callerEndpoint{router: r, arrived: make(chan *call, 64), refuse: make(chan struct{})}
 	close(e.refuse)
 	go e.dispatch(ctx)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
 	srv := r.callerServer()
-	go func() { _ = srv.Serve(r.boundCallers(lis)) }()
+	go func() { _ = srv.Serve(r.limitCallers(lis)) }()
 	e.addr = lis.Addr().String()
 	c.Cleanup(func() { _ = srv.Close(); cancel() })
 	return e
 }
 
-func (e *edge) dispatch(ctx context.Context) {
+func (e *callerEndpoint) dispatch(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -93,8 +93,8 @@
 	}
 }
 
-// send sends a request and returns the refusal that came back.
-func (e *edge) send(c *quicktest.C, method, path string, headers http.Header, body io.Reader) (*http.Response, outcome.Problem) {
+// send sends a request and returns the response and its refusal.
+func (e *callerEndpoint) send(c *quicktest.C, method, path string, headers http.Header, body io.Reader) (*http.Response, outcome.Problem) {
 	req, err := http.NewRequest(method, "http://"+e.addr+path, body)
 	c.Assert(err, quicktest.IsNil)
 	for name, values := range headers {
@@ -177,7 +177,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := quicktest.New(t)
-			e := newEdge(c, func(s *settings.Router) { s.Limits.Body, s.Limits.Headers = 2560, 4*settings.KiB })
+			e := newCallerEndpoint(c, func(s *settings.Router) { s.Limits.Body, s.Limits.Headers = 2560, 4*settings.KiB })
 			for _, body := range []io.Reader{strings.NewReader(tc.body), io.MultiReader(strings.NewReader(tc.body))} {
 				resp, p := e.send(c, tc.method, tc.path, tc.headers, body)
 				c.Check(resp.StatusCode, quicktest.Equals, tc.status)
@@ -195,7 +195,7 @@
 
 func TestAcceptedRequest(t *testing.T) {
 	c := quicktest.New(t)
-	e := newEdge(c, nil)
+	e := newCallerEndpoint(c, nil)
 	h := header(headerKey, "k 1", headerDeadline, "20m", headerCostHint, "40", "X-Team", "fake",
 		"Traceparent", "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01", "X-Own", "1", "Connection", "x-gone", "X-Gone", "1")
 	resp, p := e.send(c, "PUT", "/services/ledger//%70ledges/a%2Fb?x=1&y", h, strings.NewReader("body"))
@@ -236,24 +236,24 @@
 		})
 		req, err := http.NewRequest(method, "http://r"+path, strings.NewReader(body))
 		if err != nil {
-			return // no HTTP server hands over such a request
+			return // net/http passes no such request to a handler
 		}
 		req.Header = header(headerKey, key, headerDeadline, deadline)
-		trail := r.newTrail(req)
-		held := heldBody{from: r.bodies}
-		got, refused := r.admit(trail, &held, httptest.NewRecorder(), req)
+		observer := r.newObserver(req)
+		content := requestBody{budget: r.bodies}
+		got, refused := r.admit(observer, &content, httptest.NewRecorder(), req)
 		if (got == nil) == (refused == nil) {
 			t.Fatal("want a call or a refusal")
 		}
 		if got != nil {
 			c.Check(strings.HasPrefix(got.start.Path, "/"), quicktest.IsTrue)
-			c.Check(leavesRoot(strings.Split(got.start.Path, "?")[0]), quicktest.IsFalse)
+			c.Check(escapesRoot(strings.Split(got.start.Path, "?")[0]), quicktest.IsFalse)
 			c.Check(string(got.body), quicktest.Equals, body)
 			c.Check(got.start, quicktest.Not(quicktest.Equals), (*wire.RunStart)(nil))
 		} else {
 			c.Check(refused.Kind, quicktest.Equals, outcome.NotRun)
 		}
-		held.release()
+		content.release()
 		c.Check(r.bodies.used, quicktest.Equals, int64(0))
 	})
 }
--- a/transport/router/connections.go
+++ b/transport/router/connections.go
@@ -10,16 +10,16 @@
 	"goldcrestport/transport/callerconn"
 )
 
-// spareConnections is the number of connections beyond the bound that are
-// still answered, each with one refusal. Further ones are closed at once.
+// spareConnections is the number of connections above the limit that are still
+// served, each with one refusal. Further ones are closed at once.
 const spareConnections = 64
 
-// headerSlack is how far headers may pass their bound and still get a problem
-// document; beyond it net/http answers by itself.
+// headerSlack is how many bytes headers may exceed their limit and still get a
+// problem document; beyond it net/http sends its own response.
 const headerSlack = 64 << 10
 
-// boundedListener bounds the callers' open connections.
-type boundedListener struct {
+// limitListener limits the callers' open connections.
+type limitListener struct {
 	net.Listener
 	limit   int64
 	open    atomic.Int64
@@ -27,7 +27,7 @@
 }
 
 // Accept implements net.Listener.
-func (l *boundedListener) Accept() (net.Conn, error) {
+func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
 		if err != nil {
@@ -35,7 +35,7 @@
 		}
 		n := l.open.Add(1)
 		l.metrics.connections.Set(n)
-		c := &countedConn{Conn: raw, list: l, over: n > l.limit}
+		c := &countedConn{Conn: raw, listener: l, over: n > l.limit}
 		if c.over {
 			l.metrics.refusedConn.Add(1)
 		}
@@ -49,18 +49,19 @@
 // countedConn is one open connection.
 type countedConn struct {
 	net.Conn
-	list *boundedListener
-	once sync.Once
-	over bool
+	listener *limitListener
+	once     sync.Once
+	over     bool
 }
 
 // Close implements net.Conn.
 func (c *countedConn) Close() error {
-	c.once.Do(func() { c.list.metrics.connections.Set(c.list.open.Add(-1)) })
+	c.once.Do(func() { c.listener.metrics.connections.Set(c.listener.open.Add(-1)) })
 	return c.Conn.Close()
 }
 
-// SetLinger sets what happens at Close to bytes that were not sent.
+// SetLinger sets what Close does with unsent bytes; see
+// net.TCPConn.SetLinger.
 func (c *countedConn) SetLinger(seconds int) error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		return tcp.SetLinger(seconds)
@@ -68,11 +69,12 @@
 	return nil
 }
 
-// overLimit marks the context of a connection beyond the bound.
+// overLimit is the context key that marks a connection above the limit.
 type overLimit struct{}
 
-// markOver puts the connection into its context, and marks one beyond the bound.
-func markOver(ctx context.Context, c net.Conn) context.Context {
+// connContext stores the connection in its context and marks one above the
+// limit.
+func connContext(ctx context.Context, c net.Conn) context.Context {
 	ctx = callerconn.WithConn(ctx, c)
 	if counted, ok := c.(*countedConn); ok && counted.over {
 		return context.WithValue(ctx, overLimit{}, true)
@@ -80,21 +82,21 @@
 	return ctx
 }
 
-func isOver(req *http.Request) bool { return req.Context().Value(overLimit{}) != nil }
+func isOverLimit(req *http.Request) bool { return req.Context().Value(overLimit{}) != nil }
 
 // callerServer returns the HTTP server of the callers' listener.
 func (r *Router) callerServer() *http.Server {
 	limits := r.set.Limits
 	return &http.Server{
-		Handler:           callerconn.ResetUnlessWhole(r.holding(r.callerHandler())),
+		Handler:           callerconn.ResetUnlessWhole(r.trackInFlight(r.callerHandler())),
 		ReadHeaderTimeout: limits.HeaderTimeout.D(),
 		IdleTimeout:       limits.IdleTimeout.D(),
 		MaxHeaderBytes:    int(limits.Headers.Bytes()) + headerSlack,
-		ConnContext:       markOver,
+		ConnContext:       connContext,
 	}
 }
 
-// boundCallers bounds the callers' connections.
-func (r *Router) boundCallers(lis net.Listener) net.Listener {
-	return &boundedListener{Listener: lis, limit: int64(r.set.Limits.Connections), metrics: r.metrics}
+// limitCallers limits the callers' open connections.
+func (r *Router) limitCallers(lis net.Listener) net.Listener {
+	return &limitListener{Listener: lis, limit: int64(r.set.Limits.Connections), metrics: r.metrics}
 }
--- a/transport/router/dispatch_config.go
+++ b/transport/router/dispatch_config.go
@@ -7,8 +7,9 @@
 	"goldcrestport/protocol/settings"
 )
 
-// dispatchConfig returns the core's parameters from the settings. The seed
-// comes from the router's name, so that routers choose different subsets.
+// dispatchConfig returns the dispatch core's parameters from the settings. The
+// seed is derived from the router's ID, so that routers choose different
+// subsets of sidecars.
 func dispatchConfig(set settings.Router) dispatch.Config {
 	cfg := dispatch.DefaultConfig()
 	cfg.Policy = dispatch.Policy(set.Policy)
--- a/transport/router/dispatch_vars.go
+++ b/transport/router/dispatch_vars.go
@@ -8,8 +8,8 @@
 	"goldcrestport/transport/observe"
 )
 
-// dispatchVars are the metrics of the dispatch core under /debug/vars. The
-// dispatcher sets them; readers see the last snapshot.
+// dispatchVars publishes the metrics of the dispatch core under /debug/vars.
+// The dispatcher sets them; readers see the last snapshot.
 type dispatchVars struct {
 	waiting    atomic.Pointer[map[string]map[string]int]
 	stats      atomic.Pointer[dispatch.Stats]
--- a/transport/router/dispatcher.go
+++ b/transport/router/dispatcher.go
@@ -10,51 +10,51 @@
 	"goldcrestport/transport/duty"
 )
 
-// Bounds of the rings between duties.
+// Capacities of the channels between goroutines.
 const (
-	eventRing   = 4096
-	controlRing = 1024
+	eventQueueSize   = 4096
+	controlQueueSize = 1024
 )
 
-// tickEvery is the period in which deadlines are looked at.
+// tickEvery is the interval at which the core checks deadlines.
 const tickEvery = 20 * time.Millisecond
 
-// publishEvery is the period of the metrics' snapshots and of the look for
-// changed shares.
+// publishEvery is the interval at which metrics are published and the
+// configuration is checked for changed shares.
 const publishEvery = 250 * time.Millisecond
 
-// decision is what the dispatcher tells a request's handler: to send an
-// attempt, or that the request is refused.
+// decision is a message from the dispatcher to a request's handler: either to
+// send an attempt, or that the request is refused.
 type decision struct {
 	send *dispatch.Send
 	addr string
-	// incarnation of the sidecar that the attempt is meant for.
+	// incarnation is that of the sidecar the attempt is addressed to.
 	incarnation string
 	refuse      *dispatch.Refuse
 }
 
-// message is what other duties hand to the dispatcher.
+// message is sent by other goroutines to the dispatcher.
 type message struct {
 	event dispatch.Event
 	call  *call
 	link  *sidecarLink
-	// beat goes to every linked sidecar.
-	beat *wire.RouterBeat
-	// snapshot asks for the state; it has room for one.
+	// heartbeat is sent to every linked sidecar.
+	heartbeat *wire.RouterBeat
+	// snapshot receives the core's state; it must have capacity for one.
 	snapshot chan<- dispatch.Snapshot
 }
 
-// dispatcher is the duty that owns the dispatch core.
+// dispatcher owns the dispatch core; only its goroutine uses the core.
 type dispatcher struct {
 	core     *dispatch.State
 	messages chan message
 	calls    map[string]*call
 	links    map[string]*sidecarLink
-	// doc returns the configuration in force, or nil.
-	doc       func() *config.Document
-	seen      *config.Document
-	published time.Time
-	vars      *dispatchVars
+	// doc returns the configuration in force, or nil if there is none yet.
+	doc         func() *config.Document
+	appliedDoc  *config.Document
+	publishedAt time.Time
+	vars        *dispatchVars
 }
 
 func newDispatcher(core *dispatch.State, doc func() *config.Document, vars *dispatchVars) *dispatcher {
@@ -62,18 +62,18 @@
 		core:     core,
 		doc:      doc,
 		vars:     vars,
-		messages: make(chan message, eventRing),
+		messages: make(chan message, eventQueueSize),
 		calls:    map[string]*call{},
 		links:    map[string]*sidecarLink{},
 	}
 }
 
-// post hands a message to the duty, waiting while its ring is full.
+// post sends a message to the dispatcher and blocks while its channel is full.
 func (d *dispatcher) post(ctx context.Context, m message) {
 	duty.Post(ctx, d.messages, m)
 }
 
-// run is the duty's loop.
+// run handles messages and ticks until ctx ends.
 func (d *dispatcher) run(ctx context.Context) {
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
@@ -90,14 +90,14 @@
 	}
 }
 
-// publish hands changed shares to the core and shows its metrics.
+// publish passes changed shares to the core and publishes its metrics.
 func (d *dispatcher) publish(now time.Time) {
-	if now.Sub(d.published) < publishEvery {
+	if now.Sub(d.publishedAt) < publishEvery {
 		return
 	}
-	d.published = now
-	if doc := d.doc(); doc != nil && doc != d.seen {
-		d.seen = doc
+	d.publishedAt = now
+	if doc := d.doc(); doc != nil && doc != d.appliedDoc {
+		d.appliedDoc = doc
 		shares := make(map[string]float64, len(doc.Teams))
 		for name, team := range doc.Teams {
 			shares[name] = team.Share
@@ -108,9 +108,9 @@
 }
 
 func (d *dispatcher) handle(m message) {
-	if m.beat != nil {
+	if m.heartbeat != nil {
 		for _, l := range d.links {
-			l.send(&wire.ControlUp{Beat: m.beat})
+			l.send(&wire.ControlUp{Beat: m.heartbeat})
 		}
 		return
 	}
@@ -125,7 +125,7 @@
 		delete(d.calls, ev.ID)
 	case dispatch.Cancelled:
 		if c := d.calls[ev.ID]; c != nil {
-			ev.Pull = c.unstarted()
+			ev.Pull = c.unstartedPull()
 			m.event = ev
 		}
 		delete(d.calls, ev.ID)
--- a/transport/router/dispatcher_test.go
+++ b/transport/router/dispatcher_test.go
@@ -11,9 +11,9 @@
 	"goldcrestport/protocol/wire"
 )
 
-// apply does to a view of registrations what a sidecar does with a message:
+// apply updates a view of registrations as a sidecar does for a message:
 // interests first, then empties, which end a registration.
-func apply(view map[string]uint32, pulls map[uint64]string, m *wire.ControlUp) {
+func applyControl(view map[string]uint32, pulls map[uint64]string, m *wire.ControlUp) {
 	for _, i := range m.Interests {
 		view[i.Team] = i.Count
 	}
@@ -22,13 +22,14 @@
 	}
 }
 
-// TestJoinedMessagesMeanTheSame compares the sidecar's view after joined
-// messages with that after each on its own.
-func TestJoinedMessagesMeanTheSame(t *testing.T) {
+// Guards against merging control messages in a way that changes their meaning:
+// a sidecar's view of the registrations must be the same after the merged
+// messages as after the separate ones.
+func TestMergedMessagesKeepTheirMeaning(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		teams := []string{"a", "b"}
 		pulls := map[uint64]string{1: "a", 2: "b"}
-		queued := make(chan *wire.ControlUp, controlRing)
+		queued := make(chan *wire.ControlUp, controlQueueSize)
 		want, got := map[string]uint32{}, map[string]uint32{}
 		n := rapid.IntRange(1, 20).Draw(t, "messages")
 		for i := range n {
@@ -36,14 +37,14 @@
 			if rapid.Bool().Draw(t, "interest") {
 				m = &wire.ControlUp{Interests: []*wire.Interest{{Team: rapid.SampledFrom(teams).Draw(t, "team"), Count: uint32(i + 1)}}}
 			}
-			apply(want, pulls, m)
+			applyControl(want, pulls, m)
 			queued <- m
 		}
 		sent := 0
 		for next := <-queued; next != nil; sent++ {
-			var joined *wire.ControlUp
-			joined, next = gather(next, queued)
-			apply(got, pulls, joined)
+			var merged *wire.ControlUp
+			merged, next = mergeQueued(next, queued)
+			applyControl(got, pulls, merged)
 		}
 		for _, team := range teams {
 			if got[team] != want[team] {
@@ -56,13 +57,13 @@
 	})
 }
 
-func TestInterestsAreSentTogether(t *testing.T) {
-	queued := make(chan *wire.ControlUp, controlRing)
+func TestInterestsAreMerged(t *testing.T) {
+	queued := make(chan *wire.ControlUp, controlQueueSize)
 	for range 10 {
 		queued <- &wire.ControlUp{Interests: []*wire.Interest{{Team: "a"}}}
 	}
-	joined, rest := gather(<-queued, queued)
-	qt.Assert(t, joined.Interests, qt.HasLen, 10)
+	merged, rest := mergeQueued(<-queued, queued)
+	qt.Assert(t, merged.Interests, qt.HasLen, 10)
 	qt.Assert(t, rest, qt.IsNil)
 }
 
@@ -76,7 +77,7 @@
 		"answer":        {200, outcome.Outcome{Kind: outcome.Completed}, ok},
 		"client error":  {422, outcome.Outcome{Kind: outcome.Completed}, ok},
 		"server error":  {500, outcome.Outcome{Kind: outcome.Completed}, failed},
-		"cut short":     {200, outcome.Outcome{Kind: outcome.Failed, Reason: outcome.ReasonBackend}, failed},
+		"truncated":     {200, outcome.Outcome{Kind: outcome.Failed, Reason: outcome.ReasonBackend}, failed},
 		"no answer":     {0, outcome.Outcome{Kind: outcome.Unknown, Reason: outcome.ReasonBackend}, failed},
 		"link lost":     {0, outcome.Outcome{Kind: outcome.Unknown, Reason: outcome.ReasonLinkLost}, failed},
 		"caller gone":   {200, outcome.Outcome{Kind: outcome.Unknown, Reason: outcome.ReasonCancelled}, nil},
@@ -86,18 +87,18 @@
 		t.Run(name, func(t *testing.T) {
 			c := &call{id: "1", relay: &relay{status: test.status}}
 			d := decision{send: &dispatch.Send{ID: "1", Sidecar: "s"}}
-			qt.Assert(t, c.result(d, test.o), qt.Equals, test.want)
+			qt.Assert(t, c.backendResult(d, test.o), qt.Equals, test.want)
 		})
 	}
-	left := &call{decisions: make(chan decision, decisionRing)}
-	qt.Assert(t, left.unstarted(), qt.Equals, uint64(0))
-	left.decisions <- decision{send: &dispatch.Send{Pull: 9}}
-	qt.Assert(t, left.unstarted(), qt.Equals, uint64(9))
+	abandoned := &call{decisions: make(chan decision, decisionQueueSize)}
+	qt.Assert(t, abandoned.unstartedPull(), qt.Equals, uint64(0))
+	abandoned.decisions <- decision{send: &dispatch.Send{Pull: 9}}
+	qt.Assert(t, abandoned.unstartedPull(), qt.Equals, uint64(9))
 	for declined, want := range map[bool]dispatch.Event{
 		true:  dispatch.Declined{ID: "1", Sidecar: "s"},
 		false: dispatch.Failed{ID: "1", Sidecar: "s", Retry: true},
 	} {
 		c := &call{id: "1", relay: &relay{declined: declined}}
-		qt.Assert(t, c.again(decision{send: &dispatch.Send{Sidecar: "s"}}), qt.Equals, want)
+		qt.Assert(t, c.redispatchEvent(decision{send: &dispatch.Send{Sidecar: "s"}}), qt.Equals, want)
 	}
 }
--- a/transport/router/framing_test.go
+++ b/transport/router/framing_test.go
@@ -12,8 +12,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// sendsRaw answers with the bytes as they are and closes the connection.
-func sendsRaw(text string) http.HandlerFunc {
+// rawAnswer writes text unchanged to the connection and closes it.
+func rawAnswer(text string) http.HandlerFunc {
 	return warm(func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -26,9 +26,9 @@
 
 const eventStreamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
 
-// looksWhole sends a request over the protocol on a connection of its own, and reports whether
-// its answer is a success that looks whole.
-func (f *fleet) looksWhole(proto, path string) (bool, string) {
+// looksComplete sends a request with the protocol version proto on a new connection and reports
+// whether the answer is a success that looks complete to the caller.
+func (f *fleet) looksComplete(proto, path string) (bool, string) {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 	qt.Assert(f.t, err, qt.IsNil)
 	defer conn.Close()
@@ -42,9 +42,9 @@
 	return err == nil && resp.StatusCode == http.StatusOK, string(body)
 }
 
-// A stream that its server ended inside an event reached callers of routers with sidecars as
-// whole, in each framing.
-func TestAStreamThatEndsInsideAnEventIsCutBySidecars(t *testing.T) {
+// Guards against presenting a truncated event stream as complete: the backend server ends the
+// stream inside an event, in each kind of framing.
+func TestEventStreamTruncatedInsideAnEvent(t *testing.T) {
 	t.Parallel()
 	const body = "id: 1\ndata: a\n\nid: 2\nda"
 	for name, text := range map[string]string{
@@ -53,17 +53,18 @@
 		"a length":   eventStreamHead + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body),
 	} {
 		f := newFleet(t)
-		f.sidecar("sidecar-1", newBackend(t, sendsRaw(text)).URL)
+		f.sidecar("sidecar-1", newBackend(t, rawAnswer(text)).URL)
 		f.start()
 		for _, path := range []string{plainPath, lookupPath} {
-			whole, got := f.looksWhole("HTTP/1.1", path)
-			qt.Check(t, whole, qt.IsFalse, qt.Commentf("%s, %s: %q", name, path, got))
+			complete, got := f.looksComplete("HTTP/1.1", path)
+			qt.Check(t, complete, qt.IsFalse, qt.Commentf("%s, %s: %q", name, path, got))
 		}
 	}
 }
 
-// What comes whole without framing stays whole with sidecars.
-func TestWhatIsWholeLooksWholeWithSidecars(t *testing.T) {
+// Guards against presenting a complete answer as truncated, also where only the end of the
+// connection ends it.
+func TestCompleteAnswerLooksComplete(t *testing.T) {
 	t.Parallel()
 	for text, body := range map[string]string{
 		eventStreamHead + "\r\nid: 1\ndata: a\n\n":       "id: 1\ndata: a\n\n",
@@ -71,19 +72,19 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab": "ab",
 	} {
 		f := newFleet(t)
-		f.sidecar("sidecar-1", newBackend(t, sendsRaw(text)).URL)
+		f.sidecar("sidecar-1", newBackend(t, rawAnswer(text)).URL)
 		f.start()
 		for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
-			whole, got := f.looksWhole(proto, plainPath)
-			qt.Check(t, whole, qt.IsTrue, qt.Commentf("%s: %q", proto, text))
+			complete, got := f.looksComplete(proto, plainPath)
+			qt.Check(t, complete, qt.IsTrue, qt.Commentf("%s: %q", proto, text))
 			qt.Check(t, got, qt.Equals, body)
 		}
 	}
 }
 
-// A caller of a router with sidecars that gets no chunks read each cut as the end of a whole
-// answer.
-func TestACutIsAResetForACallerWithoutChunksOfSidecars(t *testing.T) {
+// Guards against a truncated answer that looks complete to an HTTP/1.0 caller: without chunked
+// encoding only a reset, not an orderly close, shows the truncation.
+func TestTruncationIsAResetWithoutChunkedEncoding(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, warm(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "a part")
@@ -94,14 +95,14 @@
 	f.sidecar("sidecar-1", b.URL)
 	f.start()
 	for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
-		whole, got := f.looksWhole(proto, plainPath)
-		qt.Check(t, whole, qt.IsFalse, qt.Commentf("%s: %q", proto, got))
+		complete, got := f.looksComplete(proto, plainPath)
+		qt.Check(t, complete, qt.IsFalse, qt.Commentf("%s: %q", proto, got))
 	}
 }
 
-// A server that crashed closed its connection in an answer without framing, and callers of routers
-// with sidecars took it for whole.
-func TestAnAnswerThatACrashClosedIsNotWholeWithSidecars(t *testing.T) {
+// Guards against presenting an answer as complete that ended because the backend server crashed:
+// without framing, the closed connection looks like the end of the answer.
+func TestAnswerEndedByABackendCrashIsNotComplete(t *testing.T) {
 	t.Parallel()
 	for _, text := range []string{eventStreamHead + "\r\nid: 1\ndata: a\n\n", "HTTP/1.1 200 OK\r\n\r\npla"} {
 		var b *backend
@@ -117,32 +118,33 @@
 		f := newFleet(t)
 		f.sidecar("sidecar-1", b.URL)
 		f.start()
-		whole, got := f.looksWhole("HTTP/1.1", plainPath)
-		qt.Check(t, whole, qt.IsFalse, qt.Commentf("%q", got))
+		complete, got := f.looksComplete("HTTP/1.1", plainPath)
+		qt.Check(t, complete, qt.IsFalse, qt.Commentf("%q", got))
 	}
 }
 
-// The kernel of a router with sidecars that is gone, or a panic, would close a caller's
-// connection in good order: on HTTP/1.0 that is the end of a whole answer.
-func TestAnAnswerUnderWayEndsByAResetForACallerWithoutChunks(t *testing.T) {
+// Guards against a truncated answer that looks complete to an HTTP/1.0 caller when the router
+// stops: the kernel (after the process exits) or a panic would close the connection in an orderly
+// way, which marks the end of a complete answer.
+func TestRouterStopResetsAnAnswerWithoutChunkedEncoding(t *testing.T) {
 	t.Parallel()
-	begun, goOn := make(chan struct{}), make(chan struct{})
+	started, resume := make(chan struct{}), make(chan struct{})
 	b := newBackend(t, warm(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "a part")
 		_ = http.NewResponseController(w).Flush()
-		close(begun)
-		<-goOn
+		close(started)
+		<-resume
 	}))
 	f := newFleet(t)
 	f.sidecar("sidecar-1", b.URL)
 	f.start()
-	defer close(goOn)
+	defer close(resume)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 	qt.Assert(t, err, qt.IsNil)
 	defer conn.Close()
 	_, err = fmt.Fprintf(conn, "POST %s HTTP/1.0\r\nHost: h\r\nAuthorization: Bearer %s\r\nContent-Length: 2\r\n\r\n{}", plainPath, testToken)
 	qt.Assert(t, err, qt.IsNil)
-	<-begun
+	<-started
 	_, err = io.ReadFull(conn, make([]byte, 12))
 	qt.Assert(t, err, qt.IsNil)
 	f.stopNow()
--- a/transport/router/harness_test.go
+++ b/transport/router/harness_test.go
@@ -26,31 +26,33 @@
 	"goldcrestport/transport/spread"
 )
 
-// cutter is a small TCP relay whose links can be cut.
-type cutter struct {
+// faultProxy is a TCP proxy that can close its connections or discard their
+// data.
+type faultProxy struct {
 	lis    net.Listener
 	target string
 
-	mu    sync.Mutex
-	conns []net.Conn
-	muted []*atomic.Bool
-	// deaf swallows what goes towards the target; refuse closes new links.
-	deaf   atomic.Bool
-	refuse atomic.Bool
+	mu        sync.Mutex
+	conns     []net.Conn
+	dropFlags []*atomic.Bool
+	// dropToTarget discards data sent to the target; refuse closes new
+	// connections.
+	dropToTarget atomic.Bool
+	refuse       atomic.Bool
 }
 
-func newCutter(t testing.TB, target string) *cutter {
+func newFaultProxy(t testing.TB, target string) *faultProxy {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	c := &cutter{lis: lis, target: target}
+	c := &faultProxy{lis: lis, target: target}
 	go c.serve()
-	t.Cleanup(func() { lis.Close(); c.cut() })
+	t.Cleanup(func() { lis.Close(); c.closeConns() })
 	return c
 }
 
-func (c *cutter) addr() string { return c.lis.Addr().String() }
+func (c *faultProxy) addr() string { return c.lis.Addr().String() }
 
-func (c *cutter) serve() {
+func (c *faultProxy) serve() {
 	for {
 		in, err := c.lis.Accept()
 		if err != nil {
@@ -65,34 +67,34 @@
 		c.conns = append(c.conns, in, out)
 		c.mu.Unlock()
 		go func() {
-			_, _ = io.Copy(&deafWriter{out, &c.deaf}, in)
+			_, _ = io.Copy(&droppingWriter{out, &c.dropToTarget}, in)
 			out.Close()
 		}()
-		muted := &atomic.Bool{}
+		drop := &atomic.Bool{}
 		c.mu.Lock()
-		c.muted = append(c.muted, muted)
+		c.dropFlags = append(c.dropFlags, drop)
 		c.mu.Unlock()
 		go func() {
-			_, _ = io.Copy(&deafWriter{in, muted}, out)
+			_, _ = io.Copy(&droppingWriter{in, drop}, out)
 			in.Close()
 		}()
 	}
 }
 
-type deafWriter struct {
+type droppingWriter struct {
 	net.Conn
-	deaf *atomic.Bool
+	drop *atomic.Bool
 }
 
-func (w *deafWriter) Write(p []byte) (int, error) {
-	if w.deaf.Load() {
+func (w *droppingWriter) Write(p []byte) (int, error) {
+	if w.drop.Load() {
 		return len(p), nil
 	}
 	return w.Conn.Write(p)
 }
 
-// cut closes every open link.
-func (c *cutter) cut() {
+// closeConns closes every open connection.
+func (c *faultProxy) closeConns() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.conns {
@@ -101,16 +103,17 @@
 	c.conns = nil
 }
 
-// mute lets the open links carry nothing more towards the router.
-func (c *cutter) mute() {
+// dropFromTarget discards all further data from the target on the connections
+// that are open now.
+func (c *faultProxy) dropFromTarget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, m := range c.muted {
+	for _, m := range c.dropFlags {
 		m.Store(true)
 	}
 }
 
-// memStore is a key-value service and instance list in memory.
+// memStore is an in-memory key-value service and instance list.
 type memStore struct {
 	platform.Store
 	mu        sync.Mutex
@@ -129,7 +132,7 @@
 }
 
 func (m *memStore) Watch(ctx context.Context, prefix string, after uint64, timeout time.Duration) ([]platform.Entry, uint64, error) {
-	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(testBackoff) {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(pollInterval) {
 		if e, err := m.Get(ctx, prefix); err == nil && e.Version > after {
 			return []platform.Entry{e}, e.Version, nil
 		}
@@ -160,17 +163,17 @@
 	return b
 }
 
-// fleet is one router before sidecars, in one process, over loopback.
+// fleet is one router with its sidecars, in one process, over loopback.
 type fleet struct {
 	t     testing.TB
 	store *memStore
-	// claims is the router's store if it is not the fleet's.
+	// claims is the router's store if it differs from store.
 	claims platform.Store
 	url    string
 	ops    string
-	// router and its stop channel.
+	// router is set by start; closing stop stops it.
 	router *router.Router
-	// logger and tracer of all processes.
+	// logger and tracer are used by all processes.
 	logger log.Logger
 	tracer func(role string) *observe.Tracer
 	stop   chan struct{}
@@ -178,17 +181,18 @@
 }
 
 const (
-	testToken   = "test-token"
-	plainPath   = "/services/ledger/pledges"
-	lookupPath  = "/services/ledger/lookups"
-	testBackoff = 10 * time.Millisecond
+	testToken    = "test-token"
+	plainPath    = "/services/ledger/pledges"
+	lookupPath   = "/services/ledger/lookups"
+	pollInterval = 10 * time.Millisecond
 )
 
-// lastHost numbers the loopback addresses of this process.
+// lastHost is the number of loopback addresses used so far in this process.
 var lastHost atomic.Int32
 
-// freeAddr returns an address that nothing else uses: each has a loopback IP
-// of its own, from which no connection is opened.
+// freeAddr returns an address that nothing else uses: each has its own loopback
+// IP, from which no connection is opened, so that no outgoing connection can
+// take its port.
 func freeAddr(t testing.TB) string {
 	n := lastHost.Add(1)
 	lis, err := net.Listen("tcp", fmt.Sprintf("127.9.%d.%d:0", n/200, n%200+1))
@@ -210,24 +214,24 @@
 	return f
 }
 
-// node is one sidecar and the relay before it.
+// node is one sidecar with the proxy in front of it.
 type node struct {
-	*cutter
+	*faultProxy
 	id      string
 	sidecar *sidecar.Sidecar
 	stop    chan struct{}
 	done    chan error
 }
 
-// leave tells the sidecar to stop and waits until it has.
-func (n *node) leave() {
+// shutDown stops the sidecar gracefully and waits until it has stopped.
+func (n *node) shutDown() {
 	close(n.stop)
 	<-n.done
 	n.done <- nil
 }
 
-// sidecar starts a sidecar before the backend server and lists it behind a
-// relay.
+// sidecar starts a sidecar for the backend server and adds it to the instance
+// list with the address of a proxy.
 func (f *fleet) sidecar(id, backendURL string, change ...func(*settings.Sidecar)) *node {
 	set := settings.DefaultSidecar()
 	set.ID, set.Service, set.DataCentre = id, "ledger", "hall-pamp"
@@ -255,7 +259,7 @@
 		n.sidecar.Abort()
 		<-n.done
 	})
-	n.cutter = newCutter(f.t, set.Listen.Peers)
+	n.faultProxy = newFaultProxy(f.t, set.Listen.Peers)
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
 	f.store.instances = append(f.store.instances, platform.Instance{
@@ -264,7 +268,7 @@
 	return n
 }
 
-// start starts the router and waits until it reaches a sidecar.
+// start starts the router and waits until it can reach a sidecar.
 func (f *fleet) start(change ...func(*settings.Router)) {
 	set := settings.DefaultRouter()
 	set.ID, set.DataCentre = "router-1", "hall-pamp"
@@ -289,9 +293,9 @@
 		if err == nil && resp.status == http.StatusOK {
 			return
 		}
-		time.Sleep(testBackoff)
+		time.Sleep(pollInterval)
 	}
-	f.t.Fatal("the router reaches no sidecar")
+	f.t.Fatal("the router cannot reach a sidecar")
 }
 
 func (f *fleet) stopNow() {
@@ -310,10 +314,10 @@
 	outcome string
 	header  http.Header
 	body    string
-	// closes tells that the router closes the connection after it.
+	// closes is true if the router closes the connection after the answer.
 	closes bool
-	// cut is the error that ended the body, nil if it ended cleanly.
-	cut error
+	// bodyErr is the error that ended the body, nil if it ended cleanly.
+	bodyErr error
 }
 
 func (f *fleet) request(method, path, body string) *http.Request {
@@ -327,8 +331,9 @@
 	return send(f.request(method, path, body))
 }
 
-// callers is the client of the tests' calls. The default one is not used: closing
-// any httptest server closes its idle connections, under a call that takes one.
+// callers is the HTTP client of the tests. The default one is not used: closing
+// any httptest server closes the default client's idle connections, also one that
+// a call is about to reuse.
 var callers = &http.Client{Transport: http.DefaultTransport.(*http.Transport).Clone()}
 
 func send(req *http.Request) (reply, error) {
@@ -341,7 +346,7 @@
 	return reply{resp.StatusCode, resp.Header.Get("Goldcrest-Outcome"), resp.Header, string(data), resp.Close, err}, nil
 }
 
-// warm answers the harness's own look-ups and passes the rest on.
+// warm answers the warm-up requests of fleet.start and passes all others to h.
 func warm(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/warm") {
--- a/transport/router/headers.go
+++ b/transport/router/headers.go
@@ -21,15 +21,16 @@
 	headerRequestID     = "Goldcrest-Request-Id"
 )
 
-// Bounds of what the headers may say.
+// Limits of header values.
 const (
 	maxKey      = 255
 	maxCostHint = 1e9
-	// fieldOverhead is counted for each header field beside its text.
+	// fieldOverhead is the number of bytes counted for each header field in
+	// addition to its name and value.
 	fieldOverhead = 4
 )
 
-// options is what a caller asks for in headers.
+// options are the request options that a caller sets in headers.
 type options struct {
 	key           string
 	nonIdempotent bool
@@ -37,9 +38,10 @@
 	estimate      float64
 }
 
-// readOptions reads the caller's headers; its error names the header.
-func readOptions(h http.Header, longest time.Duration) (options, error) {
-	o := options{deadline: longest, estimate: 1}
+// readOptions parses the caller's option headers; an error includes the name of
+// the header.
+func readOptions(h http.Header, maxDeadline time.Duration) (options, error) {
+	o := options{deadline: maxDeadline, estimate: 1}
 	for _, read := range []struct {
 		name string
 		into func(string) error
@@ -84,7 +86,7 @@
 	return nil
 }
 
-// readDeadline shortens the deadline; a longer one than allowed is cut.
+// readDeadline sets a shorter deadline; a longer one than allowed is capped.
 func (o *options) readDeadline(v string) error {
 	d, err := time.ParseDuration(v)
 	if err != nil || d <= 0 {
@@ -103,8 +105,8 @@
 	return nil
 }
 
-// headersFit reports whether the headers keep their bounds.
-func headersFit(h http.Header, limits settings.CallerLimits) bool {
+// headersFit reports whether the headers are within their limits.
+func headersWithinLimits(h http.Header, limits settings.CallerLimits) bool {
 	fields, bytes := 0, 0
 	for name, values := range h {
 		for _, v := range values {
@@ -115,8 +117,8 @@
 	return fields <= limits.HeaderFields && int64(bytes) <= limits.Headers.Bytes()
 }
 
-// ownHeaders are read by the router or belong to one connection; they are not
-// passed on.
+// ownHeaders are consumed by the router or apply to one connection; they are
+// not forwarded.
 var ownHeaders = map[string]bool{
 	"Authorization": true, "Connection": true, "Keep-Alive": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true,
@@ -124,8 +126,8 @@
 	"Traceparent": true, "X-Request-Id": true, "X-Team": true, headerKey: true,
 }
 
-// passedHeaders returns the headers that the backend server gets.
-func passedHeaders(h http.Header) []*wire.Header {
+// forwardedHeaders returns the headers to forward to the backend server.
+func forwardedHeaders(h http.Header) []*wire.Header {
 	var out []*wire.Header
 	for name, values := range h {
 		if ownHeaders[name] || namedByConnection(h, name) {
@@ -138,8 +140,8 @@
 	return out
 }
 
-// namedByConnection reports whether the Connection header keeps a field to
-// this connection.
+// namedByConnection reports whether the Connection header lists the field,
+// which makes it hop-by-hop.
 func namedByConnection(h http.Header, name string) bool {
 	for _, v := range h["Connection"] {
 		for part := range strings.SplitSeq(v, ",") {
--- a/transport/router/held_test.go
+++ b/transport/router/held_test.go
@@ -12,8 +12,8 @@
 	"goldcrestport/standin/relay"
 )
 
-// Guards against a request that runs after its caller has left: the path between the router and
-// the sidecar held it, and the word that it is given up came behind it.
+// Guards against running a request after its caller has disconnected: the network between the
+// router and the sidecar delays the start message, and the cancellation arrives behind it.
 func TestARequestThatWasGivenUpOnTheWayToASidecarDoesNotRun(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, warm(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ran") }))
--- a/transport/router/leave_test.go
+++ b/transport/router/leave_test.go
@@ -15,18 +15,18 @@
 	"goldcrestport/transport/platform"
 )
 
-// starts notes when a backend server last began a run.
-type starts struct{ last atomic.Int64 }
+// startRecorder records when a backend server last started a run.
+type startRecorder struct{ last atomic.Int64 }
 
-func (s *starts) handler(d time.Duration) http.HandlerFunc {
+func (s *startRecorder) handler(d time.Duration) http.HandlerFunc {
 	return func(http.ResponseWriter, *http.Request) {
 		s.last.Store(time.Now().UnixNano())
 		time.Sleep(d)
 	}
 }
 
-// load sends calls from a few callers until the returned function is called,
-// which gives the number of calls and of those that were not answered whole.
+// load sends calls from several callers until the returned function is called,
+// which returns the number of calls and of those without a complete success.
 func (f *fleet) load(callers int) func() (calls, bad int64) {
 	var wg sync.WaitGroup
 	var total, bad atomic.Int64
@@ -41,7 +41,7 @@
 				}
 				got, err := f.call(http.MethodPost, plainPath, "{}")
 				total.Add(1)
-				if err != nil || got.cut != nil || got.status != http.StatusOK {
+				if err != nil || got.bodyErr != nil || got.status != http.StatusOK {
 					bad.Add(1)
 					f.t.Logf("call: %v %+v", err, got)
 				}
@@ -55,7 +55,7 @@
 	}
 }
 
-func (m *memStore) list(id string, state platform.InstanceState) {
+func (m *memStore) setState(id string, state platform.InstanceState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i := range m.instances {
@@ -69,7 +69,7 @@
 	m.change(t, func(doc *config.Document) { doc.Drain = ids })
 }
 
-// change makes the next revision of the configuration.
+// change edits the configuration and stores it as the next revision.
 func (m *memStore) change(t testing.TB, edit func(*config.Document)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -83,26 +83,27 @@
 	m.version++
 }
 
-// newWorkBound is the time after which a backend server that leaves must have
-// begun no new run. The promise says a few seconds.
+// newWorkBound is the time after which a draining backend server must not start
+// new runs. The documented guarantee is a few seconds.
 const newWorkBound = 2 * time.Second
 
-// However a backend server is told to leave, it begins no new run soon after,
-// nothing is lost meanwhile, and the other one serves on.
-func TestLeavingBackendServerGetsNoNewWork(t *testing.T) {
+// Guards against new runs on a backend server that is being drained, by each of
+// the ways to drain it, and against failed requests meanwhile. The other backend
+// server must keep serving.
+func TestDrainingBackendServerGetsNoNewRuns(t *testing.T) {
 	t.Parallel()
-	ways := map[string]func(*fleet, *node){
-		"list":  func(f *fleet, n *node) { f.store.list(n.id, platform.StateLeaving) },
+	drainMethods := map[string]func(*fleet, *node){
+		"list":  func(f *fleet, n *node) { f.store.setState(n.id, platform.StateLeaving) },
 		"drain": func(f *fleet, n *node) { f.store.drain(f.t, n.id) },
 		"evacuation": func(f *fleet, _ *node) {
 			f.store.change(f.t, func(doc *config.Document) { doc.Evacuate = []string{"hall-east"} })
 		},
-		"signal": func(_ *fleet, n *node) { go n.leave() },
+		"signal": func(_ *fleet, n *node) { go n.shutDown() },
 	}
-	for way, tell := range ways {
-		t.Run(way, func(t *testing.T) {
+	for method, startDrain := range drainMethods {
+		t.Run(method, func(t *testing.T) {
 			c := qt.New(t)
-			var first, second starts
+			var first, second startRecorder
 			f := newFleet(t)
 			n := f.sidecar("sidecar-1", newBackend(t, first.handler(20*time.Millisecond)).URL, func(set *settings.Sidecar) {
 				set.DataCentre = "hall-east"
@@ -111,37 +112,37 @@
 			f.start()
 			end := f.load(12)
 			time.Sleep(500 * time.Millisecond)
-			told := time.Now()
-			tell(f, n)
+			drainedAt := time.Now()
+			startDrain(f, n)
 			time.Sleep(newWorkBound + time.Second)
 			calls, bad := end()
-			lag := time.Unix(0, first.last.Load()).Sub(told)
+			lag := time.Unix(0, first.last.Load()).Sub(drainedAt)
 			c.Logf("last new start %s after; %d calls", lag, calls)
 			c.Assert(bad, qt.Equals, int64(0))
 			c.Assert(first.last.Load() > 0, qt.IsTrue)
 			c.Assert(lag < newWorkBound, qt.IsTrue, qt.Commentf("%s", lag))
-			c.Assert(time.Unix(0, second.last.Load()).Sub(told) > newWorkBound, qt.IsTrue)
+			c.Assert(time.Unix(0, second.last.Load()).Sub(drainedAt) > newWorkBound, qt.IsTrue)
 		})
 	}
 }
 
-// A router that is told to stop refuses what comes and cuts off nothing that
-// it holds.
-func TestStoppedRouterFinishesWhatItHolds(t *testing.T) {
+// Guards against lost requests when a router is stopped: requests in flight,
+// queued ones included, complete, and new ones get a not-run refusal.
+func TestStoppedRouterFinishesRequestsInFlight(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	var s starts
+	var s startRecorder
 	f := newFleet(t)
 	f.sidecar("sidecar-1", newBackend(t, warm(s.handler(800*time.Millisecond))).URL)
 	f.start()
 	var wg sync.WaitGroup
-	var whole atomic.Int64
-	const held = 12 // more than the slots, so that some are queued
-	for range held {
+	var completed atomic.Int64
+	const inFlight = 12 // more than the slots, so that some are queued
+	for range inFlight {
 		wg.Go(func() {
 			got, err := f.call(http.MethodPost, plainPath, "{}")
-			if err == nil && got.cut == nil && got.status == http.StatusOK {
-				whole.Add(1)
+			if err == nil && got.bodyErr == nil && got.status == http.StatusOK {
+				completed.Add(1)
 			}
 		})
 	}
@@ -159,20 +160,21 @@
 	ready.Body.Close()
 	c.Assert(ready.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 	wg.Wait()
-	c.Assert(whole.Load(), qt.Equals, int64(held))
+	c.Assert(completed.Load(), qt.Equals, int64(inFlight))
 	c.Assert(<-f.done, qt.IsNil)
 	f.done <- nil
 }
 
-// When the stop bound has passed, or on a second request to stop, what is held
-// ends with typed outcomes.
+// Guards against connections that close without an outcome: when the stop bound
+// has passed, or at a second stop request, the requests in flight end with typed
+// outcomes.
 func TestStopBoundEndsWithTypedOutcomes(t *testing.T) {
 	t.Parallel()
 	for _, way := range []string{"bound", "again"} {
 		t.Run(way, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			var s starts
+			var s startRecorder
 			f := newFleet(t)
 			f.sidecar("sidecar-1", newBackend(t, warm(s.handler(3*time.Second))).URL)
 			f.start(func(set *settings.Router) {
@@ -195,8 +197,7 @@
 	}
 }
 
-// outcomesOf sends calls at once, does something meanwhile, and counts the
-// outcomes.
+// outcomesOf sends calls concurrently, calls meanwhile, and counts the outcomes.
 func (f *fleet) outcomesOf(calls int, meanwhile func()) map[string]int {
 	var mu sync.Mutex
 	out := map[string]int{}
@@ -218,23 +219,23 @@
 	return out
 }
 
-// A sidecar whose stop bound has passed ends its runs with typed outcomes and
-// not with a bare cut.
+// Guards against a sidecar that, when its stop bound has passed, closes its
+// streams without typed outcomes for their runs.
 func TestSidecarStopBoundEndsWithTypedOutcomes(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	var s starts
+	var s startRecorder
 	f := newFleet(t)
 	n := f.sidecar("sidecar-1", newBackend(t, warm(s.handler(3*time.Second))).URL, func(set *settings.Sidecar) {
 		set.Stop.Bound = settings.Duration(300 * time.Millisecond)
 	})
 	f.start()
-	time.AfterFunc(200*time.Millisecond, n.leave)
-	began := time.Now()
+	time.AfterFunc(200*time.Millisecond, n.shutDown)
+	started := time.Now()
 	got, err := f.call(http.MethodPost, plainPath, "{}")
 	c.Assert(err, qt.IsNil)
 	c.Assert(got.status, qt.Equals, http.StatusBadGateway)
 	c.Assert(got.outcome, qt.Equals, "unknown")
 	c.Assert(got.body, qt.Contains, `"reason":"leaving"`)
-	c.Assert(time.Since(began) < 2*time.Second, qt.IsTrue)
+	c.Assert(time.Since(started) < 2*time.Second, qt.IsTrue)
 }
--- a/transport/router/limits_test.go
+++ b/transport/router/limits_test.go
@@ -16,8 +16,9 @@
 	"goldcrestport/protocol/settings"
 )
 
-// raw sends bytes and reads the one response.
-func (e *edge) raw(c *quicktest.C, text string, half bool) outcome.Problem {
+// raw sends text unchanged on a new connection and reads the one response; half
+// closes the sending side first.
+func (e *callerEndpoint) raw(c *quicktest.C, text string, half bool) outcome.Problem {
 	conn, err := net.Dial("tcp", e.addr)
 	c.Assert(err, quicktest.IsNil)
 	defer conn.Close()
@@ -34,9 +35,9 @@
 
 const uploadHead = "POST /services/ledger/x HTTP/1.1\r\nHost: r\r\nAuthorization: Bearer t\r\n"
 
-func TestUploadThatDoesNotEnd(t *testing.T) {
+func TestIncompleteUpload(t *testing.T) {
 	c := quicktest.New(t)
-	e := newEdge(c, func(s *settings.Router) { s.Limits.BodyTimeout = settings.Duration(50 * time.Millisecond) })
+	e := newCallerEndpoint(c, func(s *settings.Router) { s.Limits.BodyTimeout = settings.Duration(50 * time.Millisecond) })
 	for _, body := range []string{"Content-Length: 10\r\n\r\nfive!", "Transfer-Encoding: chunked\r\n\r\n5\r\nfive!\r\n"} {
 		p := e.raw(c, uploadHead+body, true)
 		c.Check(p.Reason, quicktest.Equals, outcome.ReasonBadRequest, quicktest.Commentf("truncated: %q", body))
@@ -50,21 +51,21 @@
 
 func TestConnectionsAreBounded(t *testing.T) {
 	c := quicktest.New(t)
-	e := newEdge(c, func(s *settings.Router) { s.Limits.Connections = 2 })
+	e := newCallerEndpoint(c, func(s *settings.Router) { s.Limits.Connections = 2 })
 	var idle []net.Conn
 	for range 2 {
 		conn, err := net.Dial("tcp", e.addr)
 		c.Assert(err, quicktest.IsNil)
 		idle = append(idle, conn)
 	}
-	whole := uploadHead + "Content-Length: 0\r\n\r\n"
-	p := e.raw(c, whole, false)
+	request := uploadHead + "Content-Length: 0\r\n\r\n"
+	p := e.raw(c, request, false)
 	c.Check(p.Reason, quicktest.Equals, outcome.ReasonConnections)
 	c.Check(p.Outcome, quicktest.Equals, outcome.NotRun)
 	c.Check(e.router.metrics.refusedConn.Value(), quicktest.Equals, int64(1))
 	c.Assert(idle[0].Close(), quicktest.IsNil)
 	for range 100 {
-		if p = e.raw(c, whole, false); p.Reason == outcome.ReasonQueueFull {
+		if p = e.raw(c, request, false); p.Reason == outcome.ReasonQueueFull {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -74,7 +75,7 @@
 
 func TestBodyMemoryIsBounded(t *testing.T) {
 	c := quicktest.New(t)
-	e := newEdge(c, func(s *settings.Router) { s.Limits.Bodies = 4 * settings.KiB })
+	e := newCallerEndpoint(c, func(s *settings.Router) { s.Limits.Bodies = 4 * settings.KiB })
 	e.refuse = make(chan struct{})
 	body := strings.Repeat("x", 1500)
 	done := make(chan outcome.Problem)
@@ -96,17 +97,17 @@
 	c.Check(e.router.metrics.bodies.Value(), quicktest.Equals, int64(0))
 }
 
-func TestAnnouncedBodyHoldsLittle(t *testing.T) {
+func TestDeclaredLengthReservesNoMemory(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBodies(1<<20, newMetrics().bodies)
-	h := heldBody{from: b, team: "a"}
+	b := newBodyBudget(1<<20, newMetrics().bodies)
+	h := requestBody{budget: b, team: "a"}
 	read, write := io.Pipe()
 	done := make(chan error)
 	go func() { done <- h.read(read, 512<<10, 1<<20) }()
 	_, err := write.Write(make([]byte, 100))
 	c.Assert(err, quicktest.IsNil)
 	b.mu.Lock()
-	c.Check(b.used, quicktest.Equals, int64(bodyStep))
+	c.Check(b.used, quicktest.Equals, int64(minBodyBuffer))
 	b.mu.Unlock()
 	_, err = write.Write(make([]byte, 512<<10-100))
 	c.Assert(err, quicktest.IsNil)
@@ -115,14 +116,15 @@
 	c.Check(b.used, quicktest.Equals, int64(512<<10))
 }
 
-// A caller who stops reading must not hold the handler for ever.
+// Guards against a caller that stops reading and thereby blocks the handler
+// forever.
 func TestCallerThatStopsReading(t *testing.T) {
 	c := quicktest.New(t)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
 	ended := make(chan error, 1)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		p := newPatientWriter(w, 100*time.Millisecond)
+		p := newDeadlineWriter(w, 100*time.Millisecond)
 		for {
 			if _, err := p.Write(make([]byte, 1<<20)); err != nil {
 				ended <- err
@@ -141,6 +143,6 @@
 	case err := <-ended:
 		c.Check(isTimeout(err), quicktest.IsTrue)
 	case <-time.After(10 * time.Second):
-		c.Fatal("the handler still writes")
+		c.Fatal("the handler is still writing")
 	}
 }
--- a/transport/router/link.go
+++ b/transport/router/link.go
@@ -13,30 +13,30 @@
 	"goldcrestport/transport/platform"
 )
 
-// Pauses before a lost control stream is opened again: the first, and the
-// longest while the sidecar does not answer.
+// Initial and maximum delay before a lost control stream is opened again; the
+// delay grows while the sidecar does not answer.
 const (
-	reconnectAfter  = 200 * time.Millisecond
-	reconnectAtMost = 3 * time.Second
+	minReconnectDelay = 200 * time.Millisecond
+	maxReconnectDelay = 3 * time.Second
 )
 
-// lookEvery is the period in which the list in memory is compared with the
-// open links.
-const lookEvery = 200 * time.Millisecond
+// reconcileEvery is the interval at which the open links are reconciled with
+// the cached instance list.
+const reconcileEvery = 200 * time.Millisecond
 
 // sidecarLink is the control stream to one sidecar.
 type sidecarLink struct {
 	id   string
 	addr string
-	// incarnation of the sidecar that this stream reached.
+	// incarnation is that of the sidecar this stream is connected to.
 	incarnation string
 	out         chan *wire.ControlUp
-	full        chan struct{}
+	overflow    chan struct{}
 	closed      bool
 }
 
-// send queues a message or, when the ring is full, gives the stream up. It is
-// called by the dispatcher only.
+// send queues a message; if the queue is full, it has the stream closed. Only
+// the dispatcher may call it.
 func (l *sidecarLink) send(m *wire.ControlUp) {
 	select {
 	case l.out <- m:
@@ -45,20 +45,20 @@
 	}
 	if !l.closed {
 		l.closed = true
-		close(l.full)
+		close(l.overflow)
 	}
 }
 
-// links is the duty that keeps a control stream to every sidecar of the
-// platform's list.
-type links struct {
+// linkManager keeps a control stream to every sidecar in the platform's
+// instance list.
+type linkManager struct {
 	r    *Router
 	open map[string]context.CancelFunc
 }
 
 // run follows the instance list until ctx ends.
-func (l *links) run(ctx context.Context) {
-	ticker := time.NewTicker(lookEvery)
+func (l *linkManager) run(ctx context.Context) {
+	ticker := time.NewTicker(reconcileEvery)
 	defer ticker.Stop()
 	for {
 		if list, err := l.r.spread.Instances(ctx); err == nil {
@@ -73,9 +73,9 @@
 	}
 }
 
-func (l *links) apply(ctx context.Context, list []platform.Instance) {
+func (l *linkManager) apply(ctx context.Context, list []platform.Instance) {
 	seen := map[string]bool{}
-	l.r.listing.set(list)
+	l.r.listedStates.set(list)
 	routers := 0
 	for _, i := range list {
 		if !l.r.serves(i.DataCentre) {
@@ -92,7 +92,7 @@
 		if l.open[key] == nil {
 			sub, cancel := context.WithCancel(ctx)
 			l.open[key] = cancel
-			go l.r.keepLink(sub, i)
+			go l.r.maintainLink(sub, i)
 		}
 	}
 	l.r.dispatcher.post(ctx, message{event: dispatch.RouterCountChanged{Count: routers}})
@@ -104,35 +104,36 @@
 	}
 }
 
-// serves reports whether this router hands work to the data centre.
+// serves reports whether this router dispatches requests to the data centre.
 func (r *Router) serves(dataCentre string) bool {
 	return len(r.set.Region) == 0 || slices.Contains(r.set.Region, dataCentre)
 }
 
-// keepLink opens the control stream again and again until ctx ends. The pause
-// doubles while the sidecar does not answer, so that the routers of a region
-// do not dial a lost data centre all the time, nor come back to it as one.
-func (r *Router) keepLink(ctx context.Context, i platform.Instance) {
-	pause := reconnectAfter
+// maintainLink reopens the control stream until ctx ends. The delay doubles
+// while the sidecar does not answer and has jitter, so that the routers of a
+// region neither dial an unreachable data centre continuously nor reconnect to
+// it all at once.
+func (r *Router) maintainLink(ctx context.Context, i platform.Instance) {
+	delay := minReconnectDelay
 	for ctx.Err() == nil {
-		opened, err := r.holdLink(ctx, i)
+		opened, err := r.runLink(ctx, i)
 		if err != nil && ctx.Err() == nil {
 			_ = r.log.Log("event", "link_lost", "sidecar", i.ID, "err", err)
 		}
 		if opened {
-			pause = reconnectAfter
+			delay = minReconnectDelay
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause/2 + time.Duration(rand.Int64N(int64(pause)))):
+		case <-time.After(delay/2 + time.Duration(rand.Int64N(int64(delay)))):
 		}
-		pause = min(2*pause, reconnectAtMost)
+		delay = min(2*delay, maxReconnectDelay)
 	}
 }
 
-// holdLink opens one control stream and serves it until it ends. It reports
+// runLink opens one control stream and serves it until it ends. It reports
 // whether the sidecar answered.
-func (r *Router) holdLink(ctx context.Context, i platform.Instance) (opened bool, err error) {
+func (r *Router) runLink(ctx context.Context, i platform.Instance) (opened bool, err error) {
 	conn, err := r.pool.Dial(ctx, i.Address)
 	if err != nil {
 		return false, err
@@ -154,8 +155,8 @@
 		id:          i.ID,
 		addr:        i.Address,
 		incarnation: down.GetWelcome().GetIncarnation(),
-		out:         make(chan *wire.ControlUp, controlRing),
-		full:        make(chan struct{}),
+		out:         make(chan *wire.ControlUp, controlQueueSize),
+		overflow:    make(chan struct{}),
 	}
 	r.dispatcher.post(ctx, message{link: l, event: dispatch.SidecarUp{Sidecar: l.id, Service: down.GetWelcome().GetService()}})
 	defer r.dispatcher.post(r.ctx, message{link: l, event: dispatch.SidecarDown{Sidecar: l.id}})
@@ -163,23 +164,23 @@
 	defer r.linkCount.Add(-1)
 	defer r.sidecarReports.Delete(l.id)
 	go sendLink(stream, l, r.dispatcher.vars)
-	go r.tellListing(stream, l.id)
+	go r.sendListedState(stream, l.id)
 	return true, r.receiveLink(ctx, stream, l)
 }
 
-// sendLink writes the link's ring to its stream.
+// sendLink writes the link's queued messages to its stream.
 func sendLink(stream wire.DRPCSidecar_ControlClient, l *sidecarLink, vars *dispatchVars) {
 	for {
 		select {
 		case <-stream.Context().Done():
 			return
-		case <-l.full:
+		case <-l.overflow:
 			_ = stream.Close()
 			return
 		case m := <-l.out:
 			for m != nil {
 				var rest *wire.ControlUp
-				m, rest = gather(m, l.out)
+				m, rest = mergeQueued(m, l.out)
 				vars.controlOut.Add(int64(proto.Size(m)))
 				if stream.Send(m) != nil {
 					return
@@ -190,11 +191,12 @@
 	}
 }
 
-// gather joins queued messages to the first one, to save frames. It returns
-// the message that could not be joined, if any. A receiver reads interests
-// before empties, so an interest is never joined to an earlier empty.
-func gather(first *wire.ControlUp, queued <-chan *wire.ControlUp) (joined, rest *wire.ControlUp) {
-	for range controlRing {
+// mergeQueued merges queued messages into the first one, to save frames. It
+// returns the message that could not be merged, if any. A receiver handles
+// interests before empties, so an interest is never merged into a message that
+// already has an empty.
+func mergeQueued(first *wire.ControlUp, queued <-chan *wire.ControlUp) (merged, rest *wire.ControlUp) {
+	for range controlQueueSize {
 		select {
 		case next := <-queued:
 			if len(first.Empties) > 0 && len(next.Interests) > 0 || next.Hello != nil || next.Beat != nil {
@@ -209,7 +211,7 @@
 	return first, nil
 }
 
-// receiveLink turns the sidecar's messages into events.
+// receiveLink converts the sidecar's messages into dispatcher events.
 func (r *Router) receiveLink(ctx context.Context, stream wire.DRPCSidecar_ControlClient, l *sidecarLink) error {
 	for {
 		down, err := stream.Recv()
@@ -218,7 +220,7 @@
 		}
 		r.dispatcher.vars.controlIn.Add(int64(proto.Size(down)))
 		if load := down.Load; load != nil {
-			r.heard(l, load)
+			r.revisionReported(l, load)
 			r.sidecarReports.Store(l.id, load)
 			r.dispatcher.post(ctx, message{event: dispatch.LoadReported{
 				Sidecar:  l.id,
--- a/transport/router/links_test.go
+++ b/transport/router/links_test.go
@@ -13,7 +13,7 @@
 	"goldcrestport/protocol/settings"
 )
 
-// lines is an answer in many flushed parts.
+// lines answers with n lines and flushes after each one.
 func lines(n int, every time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		for i := range n {
@@ -32,14 +32,14 @@
 	return b.String()
 }
 
-// Links that are cut again and again while an answer streams leave it whole,
-// from one run.
-func TestCutLinksAreResumed(t *testing.T) {
+// Guards against truncated answers and repeated runs when the links to the
+// sidecar are closed again and again while an answer is streamed.
+func TestClosedLinksAreResumed(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := newBackend(t, warm(lines(200, 5*time.Millisecond)))
 	f := newFleet(t)
-	relay := f.sidecar("sidecar-1", b.URL)
+	proxy := f.sidecar("sidecar-1", b.URL)
 	f.start()
 	before := b.runs.Load()
 	stop := make(chan struct{})
@@ -50,33 +50,33 @@
 			case <-stop:
 				return
 			case <-time.After(120 * time.Millisecond):
-				relay.cut()
+				proxy.closeConns()
 			}
 		}
 	}()
 	got, err := f.call(http.MethodPost, plainPath, "{}")
 	c.Assert(err, qt.IsNil)
-	c.Assert(got.cut, qt.IsNil)
+	c.Assert(got.bodyErr, qt.IsNil)
 	c.Assert(got.body, qt.Equals, wantLines(200))
 	c.Assert(got.status, qt.Equals, http.StatusOK)
 	c.Assert(b.runs.Load()-before, qt.Equals, int64(1))
 }
 
-// A start that never reached the sidecar is settled as not run and runs once
-// after that, though the call is not idempotent.
+// Guards against failing or repeating a non-idempotent call whose start message
+// never reached the sidecar: it is settled as not run and then runs once.
 func TestLostStartRunsOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := newBackend(t, warm(lines(1, 0)))
 	f := newFleet(t)
-	relay := f.sidecar("sidecar-1", b.URL)
+	proxy := f.sidecar("sidecar-1", b.URL)
 	f.start()
 	before := b.runs.Load()
-	relay.deaf.Store(true)
+	proxy.dropToTarget.Store(true)
 	go func() {
 		time.Sleep(200 * time.Millisecond)
-		relay.deaf.Store(false)
-		relay.cut()
+		proxy.dropToTarget.Store(false)
+		proxy.closeConns()
 	}()
 	got, err := f.call(http.MethodPost, plainPath, "{}")
 	c.Assert(err, qt.IsNil)
@@ -85,30 +85,30 @@
 	c.Assert(b.runs.Load()-before, qt.Equals, int64(1))
 }
 
-// A sidecar that can't be reached any more leaves a non-idempotent call
-// unknown; it is not run a second time, though another sidecar is free.
+// Guards against running a non-idempotent call twice: when its sidecar becomes
+// unreachable, its outcome is unknown, even if another sidecar is free.
 func TestLostSidecarLeavesNonIdempotentUnknown(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	held := make(chan struct{})
-	defer close(held)
+	release := make(chan struct{})
+	defer close(release)
 	f := newFleet(t)
 	var backends [2]*backend
 	var nodes [2]*node
 	for i := range backends {
 		backends[i] = newBackend(t, nil)
-		backends[i].Config.Handler = holdFirst(backends[i], held)
+		backends[i].Config.Handler = holdRuns(backends[i], release)
 		nodes[i] = f.sidecar(fmt.Sprint("sidecar-", i), backends[i].URL)
 	}
 	f.start()
 	runs := func() int64 { return backends[0].runs.Load() + backends[1].runs.Load() }
 	go func() {
 		for runs() == 0 {
-			time.Sleep(testBackoff)
+			time.Sleep(pollInterval)
 		}
 		at := nodes[backends[1].runs.Load()]
 		at.refuse.Store(true)
-		at.cut()
+		at.closeConns()
 	}()
 	req := f.request(http.MethodPost, plainPath, "{}")
 	req.Header.Set("Goldcrest-Deadline", "8s")
@@ -120,8 +120,8 @@
 	c.Assert(resp.Header.Get("Goldcrest-Outcome"), qt.Equals, "unknown")
 }
 
-// holdFirst counts and answers, but not before held is closed.
-func holdFirst(b *backend, held chan struct{}) http.Handler {
+// holdRuns counts the runs and answers them once release is closed.
+func holdRuns(b *backend, release chan struct{}) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/warm") {
 			return
@@ -129,36 +129,36 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 		b.runs.Add(1)
 		select {
-		case <-held:
+		case <-release:
 		case <-r.Context().Done():
 		}
 		_, _ = io.WriteString(w, "answer")
 	})
 }
 
-// A sidecar that is lost for good before any byte came is replaced by another
-// one for an idempotent call.
+// Guards against failing an idempotent call whose sidecar is lost for good before
+// the first byte of the answer: it is retried on another sidecar.
 func TestLostSidecarIsReplacedForIdempotent(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	held := make(chan struct{})
+	release := make(chan struct{})
 	b := newBackend(t, nil)
-	b.Config.Handler = holdFirst(b, held)
+	b.Config.Handler = holdRuns(b, release)
 	f := newFleet(t)
 	first := f.sidecar("sidecar-1", b.URL)
 	f.start()
 	before := b.runs.Load()
 	go func() {
 		for b.runs.Load() == before {
-			time.Sleep(testBackoff)
+			time.Sleep(pollInterval)
 		}
 		first.refuse.Store(true)
-		first.cut()
+		first.closeConns()
 		f.sidecar("sidecar-2", b.URL)
 		for b.runs.Load() == before+1 {
-			time.Sleep(testBackoff)
+			time.Sleep(pollInterval)
 		}
-		close(held)
+		close(release)
 	}()
 	got, err := f.call(http.MethodPost, lookupPath, "{}")
 	c.Assert(err, qt.IsNil)
@@ -166,26 +166,27 @@
 	c.Assert(got.body, qt.Equals, "answer")
 }
 
-// An answer of which a part was delivered never ends cleanly when its sidecar
-// is lost, idempotent or not.
-func TestDeliveredPartIsNeverEndedCleanly(t *testing.T) {
+// Guards against ending a partially delivered answer cleanly when its sidecar is
+// lost, also for an idempotent call.
+func TestPartialAnswerNeverEndsCleanly(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := newBackend(t, warm(lines(300, 10*time.Millisecond)))
 	f := newFleet(t)
-	relay := f.sidecar("sidecar-1", b.URL)
+	proxy := f.sidecar("sidecar-1", b.URL)
 	f.start()
 	time.AfterFunc(300*time.Millisecond, func() {
-		relay.refuse.Store(true)
-		relay.cut()
+		proxy.refuse.Store(true)
+		proxy.closeConns()
 	})
 	got, err := f.call(http.MethodPost, lookupPath, "{}")
 	c.Assert(err, qt.IsNil)
-	c.Assert(got.cut, qt.IsNotNil)
+	c.Assert(got.bodyErr, qt.IsNotNil)
 	c.Assert(strings.HasPrefix(wantLines(300), got.body), qt.IsTrue)
 }
 
-// A caller that goes away ends the run at the backend server at once.
+// Guards against runs that go on after their caller has disconnected: the backend
+// server sees the cancellation at once.
 func TestCallerGoneCancelsTheRun(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -210,49 +211,50 @@
 	select {
 	case <-ended:
 	case <-time.After(3 * time.Second):
-		c.Fatal("the run goes on after its caller left")
+		c.Fatal("the run continues after its caller disconnected")
 	}
 	got, err := f.call(http.MethodGet, lookupPath+"/warm", "")
 	c.Assert(err, qt.IsNil)
 	c.Assert(got.status, qt.Equals, http.StatusOK)
 }
 
-// A link that carries nothing and does not end is found out and resumed.
+// Guards against waiting forever on a link that carries no data and does not
+// close: it is detected, and the answer is resumed on another connection.
 func TestSilentLinkIsResumed(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := newBackend(t, warm(lines(100, 10*time.Millisecond)))
 	f := newFleet(t)
-	relay := f.sidecar("sidecar-1", b.URL)
+	proxy := f.sidecar("sidecar-1", b.URL)
 	f.start()
 	before := b.runs.Load()
-	time.AfterFunc(300*time.Millisecond, relay.mute)
+	time.AfterFunc(300*time.Millisecond, proxy.dropFromTarget)
 	got, err := f.call(http.MethodPost, plainPath, "{}")
 	c.Assert(err, qt.IsNil)
-	c.Assert(got.cut, qt.IsNil)
+	c.Assert(got.bodyErr, qt.IsNil)
 	c.Assert(got.body, qt.Equals, wantLines(100))
 	c.Assert(b.runs.Load()-before, qt.Equals, int64(1))
 }
 
-// An idempotent call that is queued again after a run that may have happened
-// is not called not-run when its deadline passes.
-func TestQueuedAgainAfterALostRunIsNotCalledNotRun(t *testing.T) {
+// Guards against a false not-run: an idempotent call may have run, is queued
+// again, and then its deadline passes.
+func TestRequeuedAfterLostRunIsNotReportedNotRun(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	held := make(chan struct{})
-	defer close(held)
+	release := make(chan struct{})
+	defer close(release)
 	b := newBackend(t, nil)
-	b.Config.Handler = holdFirst(b, held)
+	b.Config.Handler = holdRuns(b, release)
 	f := newFleet(t)
-	relay := f.sidecar("sidecar-1", b.URL)
+	proxy := f.sidecar("sidecar-1", b.URL)
 	f.start()
 	before := b.runs.Load()
 	go func() {
 		for b.runs.Load() == before {
-			time.Sleep(testBackoff)
+			time.Sleep(pollInterval)
 		}
-		relay.refuse.Store(true)
-		relay.cut()
+		proxy.refuse.Store(true)
+		proxy.closeConns()
 	}()
 	req := f.request(http.MethodPost, lookupPath, "{}")
 	req.Header.Set("Goldcrest-Deadline", "4s")
@@ -263,9 +265,9 @@
 	c.Assert(resp.StatusCode, qt.Equals, http.StatusBadGateway)
 }
 
-// A run whose router does not come back within the grace time ends, so that
-// its slot is free again.
-func TestAbandonedRunEndsAfterTheGrace(t *testing.T) {
+// Guards against runs that occupy a slot forever: a run ends if its router does
+// not reconnect within the resume grace time.
+func TestOrphanedRunEndsAfterResumeGrace(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	started, ended := make(chan struct{}), make(chan time.Time, 1)
@@ -281,18 +283,19 @@
 	go func() { _, _ = f.call(http.MethodPost, plainPath, "{}") }()
 	<-started
 	n.refuse.Store(true)
-	n.cut()
-	cut := time.Now()
+	n.closeConns()
+	closedAt := time.Now()
 	select {
 	case at := <-ended:
-		c.Assert(at.Sub(cut) > grace/2, qt.IsTrue, qt.Commentf("ended after %s", at.Sub(cut)))
+		c.Assert(at.Sub(closedAt) > grace/2, qt.IsTrue, qt.Commentf("ended after %s", at.Sub(closedAt)))
 	case <-time.After(grace + 3*time.Second):
-		c.Fatal("the run goes on")
+		c.Fatal("the run continues")
 	}
 }
 
-// Connections that were cut while they were idle cost no call its outcome.
-func TestStaleConnectionsCostNoCall(t *testing.T) {
+// Guards against failed calls when pooled connections were closed while they
+// were idle.
+func TestStaleConnectionsFailNoCall(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := newBackend(t, warm(lines(1, 0)))
@@ -302,7 +305,7 @@
 	before := b.runs.Load()
 	const calls = 20
 	for range calls {
-		n.cut()
+		n.closeConns()
 		got, err := f.call(http.MethodPost, plainPath, "{}")
 		c.Assert(err, qt.IsNil)
 		c.Assert(got.status, qt.Equals, http.StatusOK, qt.Commentf("%s", got.body))
--- a/transport/router/listing.go
+++ b/transport/router/listing.go
@@ -8,21 +8,22 @@
 	"goldcrestport/transport/platform"
 )
 
-// listing is what the platform's list says of sidecars that leave. Routers
-// tell them, since thousands of sidecars could not all read the list.
-type listing struct {
+// listedStates holds which instances the platform's list marks as leaving.
+// Routers send this state to the sidecars, because reading the list from
+// thousands of sidecars would not scale.
+type listedStates struct {
 	mu      sync.Mutex
 	leaving map[string]bool
-	// changed is closed and replaced when the list has changed.
+	// changed is closed and replaced when the set of leaving instances changes.
 	changed chan struct{}
 }
 
-func newListing() *listing {
-	return &listing{leaving: map[string]bool{}, changed: make(chan struct{})}
+func newListedStates() *listedStates {
+	return &listedStates{leaving: map[string]bool{}, changed: make(chan struct{})}
 }
 
-// set takes a list that was read.
-func (l *listing) set(list []platform.Instance) {
+// set updates the states from an instance list.
+func (l *listedStates) set(list []platform.Instance) {
 	leaving := map[string]bool{}
 	for _, i := range list {
 		if i.State == platform.StateLeaving {
@@ -39,7 +40,7 @@
 	l.changed = make(chan struct{})
 }
 
-func (l *listing) get(id string) (wire.Listed, <-chan struct{}) {
+func (l *listedStates) get(id string) (wire.Listed, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leaving[id] {
@@ -48,17 +49,17 @@
 	return wire.Listed_LISTED_LIVE, l.changed
 }
 
-// tellListing tells a sidecar how it is listed until its stream ends. Nothing
-// is sent for one that was live all the time.
-func (r *Router) tellListing(stream wire.DRPCSidecar_ControlClient, id string) {
-	told := wire.Listed_LISTED_LIVE
+// sendListedState sends a sidecar its listed state at each change until its
+// stream ends. Nothing is sent while a sidecar has always been live.
+func (r *Router) sendListedState(stream wire.DRPCSidecar_ControlClient, id string) {
+	sent := wire.Listed_LISTED_LIVE
 	for {
-		listed, changed := r.listing.get(id)
-		if listed != told {
+		listed, changed := r.listedStates.get(id)
+		if listed != sent {
 			if stream.Send(&wire.ControlUp{Listed: listed}) != nil {
 				return
 			}
-			told = listed
+			sent = listed
 		}
 		select {
 		case <-changed:
--- a/transport/router/messages_fuzz_test.go
+++ b/transport/router/messages_fuzz_test.go
@@ -20,8 +20,8 @@
 	"goldcrestport/protocol/wire"
 )
 
-// fakeControl is a sidecar's end of a control stream: it hands out messages
-// and closes.
+// fakeControl is a control stream that receives the given messages and then
+// ends.
 type fakeControl struct {
 	drpc.Stream
 	downs []*wire.ControlDown
@@ -44,7 +44,7 @@
 	return data
 }
 
-// handleAll performs what the dispatcher was told, without its own goroutine.
+// handleAll handles the queued messages without the dispatcher's goroutine.
 func (d *dispatcher) handleAll() {
 	for {
 		select {
@@ -56,8 +56,8 @@
 	}
 }
 
-// Whatever a sidecar says on its control stream: nothing panics, and a
-// request that arrives later gets at most one decision at once.
+// Guards against panics for arbitrary messages of a sidecar on its control
+// stream. A request gets at most one decision at a time.
 func FuzzControl(f *testing.F) {
 	for _, m := range []*wire.ControlDown{
 		{},
@@ -73,14 +73,14 @@
 	f.Fuzz(func(t *testing.T, first, second []byte, before bool) {
 		var a, b wire.ControlDown
 		if proto.Unmarshal(first, &a) != nil || proto.Unmarshal(second, &b) != nil {
-			return // drpc refuses them before any handler
+			return // drpc rejects them before any handler
 		}
-		if len(a.Pulls)+len(b.Pulls) > eventRing/2 {
-			return // more than the ring holds without its goroutine
+		if len(a.Pulls)+len(b.Pulls) > eventQueueSize/2 {
+			return // more than the channel's capacity without the goroutine
 		}
 		c := qt.New(t)
 		r := New(settings.DefaultRouter(), nil, nil, log.NewNopLogger())
-		l := &sidecarLink{id: "s", out: make(chan *wire.ControlUp, controlRing), full: make(chan struct{})}
+		l := &sidecarLink{id: "s", out: make(chan *wire.ControlUp, controlQueueSize), overflow: make(chan struct{})}
 		r.dispatcher.handle(message{link: l, event: dispatch.SidecarUp{Sidecar: l.id, Service: "llm"}})
 		decisions := make(chan decision, 2)
 		arrive := func() {
@@ -102,9 +102,8 @@
 	})
 }
 
-// Whatever a sidecar sends as an answer: nothing panics, the caller gets a
-// status that HTTP knows, and its bytes are those of the chunks that continue
-// each other.
+// Guards against panics for arbitrary answers of a sidecar. The caller gets a
+// valid HTTP status, and its bytes are those of the consecutive chunks.
 func FuzzAnswer(f *testing.F) {
 	odd := func(status int32) *wire.RunDown {
 		return &wire.RunDown{Kind: &wire.RunDown_Head{Head: &wire.Head{
@@ -124,17 +123,17 @@
 		for _, data := range [][]byte{first, second, third} {
 			var m wire.RunDown
 			if proto.Unmarshal(data, &m) != nil {
-				return // drpc refuses it before any handler
+				return // drpc rejects it before any handler
 			}
-			state := l.take(&m)
+			state := l.handle(&m)
 			for _, part := range []*wire.Chunk{m.GetChunk(), m.First} {
 				if part != nil && l.wrote && part.Attempt == 2 && part.Offset == int64(want.Len()) && l.offset > part.Offset {
 					want.Write(part.Data)
 				}
 			}
 			if state == relayEnded {
-				whole := l.whole()
-				c.Check(whole && l.end.Length != l.offset, qt.IsFalse)
+				complete := l.complete()
+				c.Check(complete && l.end.Length != l.offset, qt.IsFalse)
 			}
 			if state != relayOpen {
 				break
@@ -143,7 +142,7 @@
 		c.Check(w.Body.String(), qt.Equals, want.String())
 		c.Check(int64(w.Body.Len()), qt.Equals, l.offset)
 		if l.wrote {
-			c.Check(l.status >= http.StatusOK && l.status <= mostStatus, qt.IsTrue)
+			c.Check(l.status >= http.StatusOK && l.status <= maxStatus, qt.IsTrue)
 		}
 	})
 }
--- a/transport/router/once.go
+++ b/transport/router/once.go
@@ -17,10 +17,10 @@
 	"goldcrestport/transport/platform"
 )
 
-// headerReplayed marks an answer that was recorded before.
+// headerReplayed marks an answer that is replayed from the record of a key.
 const headerReplayed = "Goldcrest-Replayed"
 
-// claimsConfig returns the bounds of the claims with the settings applied.
+// claimsConfig returns the claims configuration with the settings applied.
 func claimsConfig(set settings.Claims) claims.Config {
 	cfg := claims.DefaultConfig()
 	cfg.Core.Expiry = set.Expiry.D()
@@ -31,7 +31,7 @@
 	return cfg
 }
 
-// newClaims returns the process's claims; they are not started.
+// newClaims returns the guard of claimed idempotency keys; it is not started.
 func (r *Router) newClaims() *claims.Guard {
 	self := claims.Peer{ID: r.set.ID, Address: r.set.Listen.Peers}
 	g := claims.New(claimsConfig(r.set.Claims), self, r.store, r.pool)
@@ -40,14 +40,14 @@
 	return g
 }
 
-// serveCall serves the request; if it must run at most once by a caller's key,
-// the key is claimed first.
+// serveCall serves the request. A non-idempotent request with an idempotency key
+// must run at most once, so its key is claimed first.
 func (r *Router) serveCall(ctx context.Context, w http.ResponseWriter, c *call) {
 	if c.start.Idempotent || c.start.IdempotencyKey == "" {
 		r.serve(ctx, w, c)
 		return
 	}
-	once := claims.Request{
+	claim := claims.Request{
 		ID:      c.id,
 		Team:    c.request.Team,
 		Service: c.request.Service,
@@ -57,53 +57,54 @@
 		Body:    c.body,
 	}
 	c.relay = newRelay(w, c.id, r.metrics)
-	d := r.claims.Acquire(ctx, once)
+	d := r.claims.Acquire(ctx, claim)
 	switch {
 	case d.Replay != nil:
 		r.replay(w, c, d.Replay)
 	case !d.Run:
 		r.finish(w, c, d.Refusal)
 	default:
-		r.runOnce(ctx, w, c, once)
+		r.serveClaimed(ctx, w, c, claim)
 	}
 }
 
-// runOnce serves a request whose key is claimed. Once it is dispatched it goes
-// on when its caller is gone, since the caller may come back for the result;
-// it ends with the router's stop bound.
-func (r *Router) runOnce(ctx context.Context, w http.ResponseWriter, c *call, once claims.Request) {
+// serveClaimed serves a request whose key is claimed. Once dispatched, it
+// continues if its caller disconnects, because the caller may retry to get the
+// result; it is cancelled when the router's stop bound passes.
+func (r *Router) serveClaimed(ctx context.Context, w http.ResponseWriter, c *call, claim claims.Request) {
 	run, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	defer cancel(nil)
-	stop := context.AfterFunc(r.ending, func() { cancel(errLeaving) })
+	stop := context.AfterFunc(r.stopCtx, func() { cancel(errStopping) })
 	defer stop()
-	rec := newRecorder(w, int(r.set.Claims.MaxAnswer.Bytes()))
-	c.run = run
-	c.settle = func(o outcome.Outcome) { r.conclude(once, rec, o) }
+	rec := newAnswerRecorder(w, int(r.set.Claims.MaxAnswer.Bytes()))
+	c.runCtx = run
+	c.onOutcome = func(o outcome.Outcome) { r.recordOutcome(claim, rec, o) }
 	r.serve(ctx, rec, c)
 }
 
-// conclude records how the request ended. A request that was not run gives its
-// key up before the caller is told.
-func (r *Router) conclude(once claims.Request, rec *recorder, o outcome.Outcome) {
+// recordOutcome records the outcome of a claimed request. If the request was not
+// run, its key is released before the caller gets the outcome.
+func (r *Router) recordOutcome(claim claims.Request, rec *answerRecorder, o outcome.Outcome) {
 	switch o.Kind {
 	case outcome.NotRun:
-		r.claims.Release(once)
+		r.claims.Release(claim)
 	case outcome.Completed:
-		r.claims.Finish(once, rec.result())
+		r.claims.Finish(claim, rec.result())
 	default:
-		r.claims.Finish(once, state.Result{Outcome: string(o.Kind), Reason: string(o.Reason), Status: o.Status})
+		r.claims.Finish(claim, state.Result{Outcome: string(o.Kind), Reason: string(o.Reason), Status: o.Status})
 	}
 }
 
-// runContext is the context of a run.
+// runContext returns the context of the run: that of the caller, ctx, unless the
+// run outlives the caller.
 func (c *call) runContext(ctx context.Context) context.Context {
-	if c.run == nil {
+	if c.runCtx == nil {
 		return ctx
 	}
-	return c.run
+	return c.runCtx
 }
 
-// flushTimeout bounds the wait for the last results to be recorded at a stop.
+// flushTimeout bounds the wait at shutdown until the last results are recorded.
 const flushTimeout = 5 * time.Second
 
 // flushClaims waits until the results of this process are recorded.
@@ -115,7 +116,7 @@
 	}
 }
 
-// replay answers with the recorded result of the key.
+// replay writes the recorded result of the key to the caller.
 func (r *Router) replay(w http.ResponseWriter, c *call, res *state.Result) {
 	w.Header().Set(headerReplayed, "true")
 	o := outcome.Outcome{
@@ -133,7 +134,7 @@
 		w.Header().Set("Goldcrest-Request-Id", c.id)
 		w.Header().Set(outcome.Header, res.Outcome)
 		w.WriteHeader(res.Status)
-		// The caller may be gone; there is nobody else to tell.
+		// Ignore the error: the caller may be gone, and the result stays recorded.
 		_, _ = w.Write(res.Body)
 	default:
 		r.finish(w, c, o)
@@ -145,7 +146,7 @@
 	}
 }
 
-// liveRouters returns the routers of the instance list.
+// liveRouters returns the live routers in the instance list.
 func liveRouters(list []platform.Instance) []claims.Peer {
 	var out []claims.Peer
 	for _, i := range list {
@@ -156,9 +157,9 @@
 	return out
 }
 
-// recorder passes an answer on and keeps what the record of its key needs.
-// It goes on when the caller is gone.
-type recorder struct {
+// answerRecorder forwards an answer and keeps what the record of its key needs.
+// It continues when the caller is gone.
+type answerRecorder struct {
 	http.ResponseWriter
 
 	limit  int
@@ -168,22 +169,22 @@
 	sum    hash.Hash
 }
 
-func newRecorder(w http.ResponseWriter, limit int) *recorder {
-	return &recorder{ResponseWriter: w, limit: limit, status: http.StatusOK, sum: sha256.New()}
+func newAnswerRecorder(w http.ResponseWriter, limit int) *answerRecorder {
+	return &answerRecorder{ResponseWriter: w, limit: limit, status: http.StatusOK, sum: sha256.New()}
 }
 
-// Unwrap lets http.ResponseController reach the connection.
-func (rec *recorder) Unwrap() http.ResponseWriter { return rec.ResponseWriter }
+// Unwrap gives http.ResponseController access to the connection.
+func (rec *answerRecorder) Unwrap() http.ResponseWriter { return rec.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
-func (rec *recorder) WriteHeader(status int) {
+func (rec *answerRecorder) WriteHeader(status int) {
 	rec.status = status
 	rec.ResponseWriter.WriteHeader(status)
 }
 
-// Write implements http.ResponseWriter. It never fails: the answer is
-// recorded whether or not the caller can still read it.
-func (rec *recorder) Write(p []byte) (int, error) {
+// Write implements http.ResponseWriter. It never fails: the answer is recorded
+// even if the caller can no longer read it.
+func (rec *answerRecorder) Write(p []byte) (int, error) {
 	rec.length += int64(len(p))
 	_, _ = rec.sum.Write(p)
 	if rec.length <= int64(rec.limit) {
@@ -193,14 +194,14 @@
 	return len(p), nil
 }
 
-// FlushError lets http.ResponseController flush; like Write it never fails.
-func (rec *recorder) FlushError() error {
+// FlushError lets http.ResponseController flush; like Write, it never fails.
+func (rec *answerRecorder) FlushError() error {
 	_ = http.NewResponseController(rec.ResponseWriter).Flush()
 	return nil
 }
 
-// result returns the record of a completed answer.
-func (rec *recorder) result() state.Result {
+// result returns the result to record for a completed answer.
+func (rec *answerRecorder) result() state.Result {
 	res := state.Result{
 		Outcome:   string(outcome.Completed),
 		Status:    rec.status,
--- a/transport/router/once_test.go
+++ b/transport/router/once_test.go
@@ -13,7 +13,7 @@
 	"goldcrestport/transport/platform"
 )
 
-// claimStore adds the claims' values to a fleet's store.
+// claimStore adds storage for claims to a fleet's store.
 type claimStore struct {
 	*memStore
 	mu      sync.Mutex
@@ -50,20 +50,20 @@
 	return version + 1, nil
 }
 
-func (s *claimStore) set(down bool) {
+func (s *claimStore) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// keyed sends a pledge with a key.
-func (f *fleet) keyed(ctx context.Context, key, body string) (reply, error) {
+// sendKeyed sends a non-idempotent request with an idempotency key.
+func (f *fleet) sendKeyed(ctx context.Context, key, body string) (reply, error) {
 	req := f.request(http.MethodPost, plainPath, body).WithContext(ctx)
 	req.Header.Set("Idempotency-Key", key)
 	return send(req)
 }
 
-func startKeyed(t *testing.T, h http.HandlerFunc) (*fleet, *claimStore, *backend) {
+func startClaimFleet(t *testing.T, h http.HandlerFunc) (*fleet, *claimStore, *backend) {
 	b := newBackend(t, warm(h))
 	f := newFleet(t)
 	s := &claimStore{memStore: f.store, entries: map[string]platform.Entry{}}
@@ -76,22 +76,22 @@
 
 func TestKeyedCallIsReplayed(t *testing.T) {
 	c := qt.New(t)
-	f, _, b := startKeyed(t, func(w http.ResponseWriter, r *http.Request) {
+	f, _, b := startClaimFleet(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/x")
 		w.WriteHeader(http.StatusCreated)
 		_, _ = w.Write([]byte("receipt 1"))
 	})
-	first, err := f.keyed(t.Context(), "k", "5")
+	first, err := f.sendKeyed(t.Context(), "k", "5")
 	c.Assert(err, qt.IsNil)
 	c.Assert(first.status, qt.Equals, http.StatusCreated)
-	again, err := f.keyed(t.Context(), "k", "5")
+	again, err := f.sendKeyed(t.Context(), "k", "5")
 	c.Assert(err, qt.IsNil)
 	c.Check(again.status, qt.Equals, http.StatusCreated)
 	c.Check(again.body, qt.Equals, "receipt 1")
 	c.Check(again.header.Get("Goldcrest-Replayed"), qt.Equals, "true")
 	c.Check(again.header.Get("Content-Type"), qt.Equals, "text/x")
 	c.Check(again.outcome, qt.Equals, "completed")
-	other, err := f.keyed(t.Context(), "k", "6")
+	other, err := f.sendKeyed(t.Context(), "k", "6")
 	c.Assert(err, qt.IsNil)
 	c.Check(other.status, qt.Equals, http.StatusUnprocessableEntity)
 	c.Check(other.outcome, qt.Equals, "not-run")
@@ -100,12 +100,12 @@
 
 func TestLargeAnswerIsReplayedByItsStatus(t *testing.T) {
 	c := qt.New(t)
-	f, _, b := startKeyed(t, func(w http.ResponseWriter, r *http.Request) {
+	f, _, b := startClaimFleet(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = w.Write(make([]byte, 5000))
 	})
-	_, err := f.keyed(t.Context(), "k", "5")
+	_, err := f.sendKeyed(t.Context(), "k", "5")
 	c.Assert(err, qt.IsNil)
-	again, err := f.keyed(t.Context(), "k", "5")
+	again, err := f.sendKeyed(t.Context(), "k", "5")
 	c.Assert(err, qt.IsNil)
 	c.Check(again.status, qt.Equals, http.StatusConflict)
 	c.Check(again.outcome, qt.Equals, "completed")
@@ -113,25 +113,25 @@
 	c.Check(b.runs.Load(), qt.Equals, int64(1))
 }
 
-func TestKeyedRunGoesOnWithoutItsCaller(t *testing.T) {
+func TestKeyedRunContinuesAfterCallerDisconnects(t *testing.T) {
 	c := qt.New(t)
-	began := make(chan struct{}, 1)
-	f, _, b := startKeyed(t, func(w http.ResponseWriter, r *http.Request) {
-		began <- struct{}{}
+	started := make(chan struct{}, 1)
+	f, _, b := startClaimFleet(t, func(w http.ResponseWriter, r *http.Request) {
+		started <- struct{}{}
 		time.Sleep(300 * time.Millisecond)
 		_, _ = w.Write([]byte("receipt"))
 	})
 	ctx, cancel := context.WithCancel(t.Context())
-	go func() { <-began; cancel() }()
-	_, err := f.keyed(ctx, "k", "5")
+	go func() { <-started; cancel() }()
+	_, err := f.sendKeyed(ctx, "k", "5")
 	c.Assert(err, qt.IsNotNil)
-	running, err := f.keyed(t.Context(), "k", "5")
+	running, err := f.sendKeyed(t.Context(), "k", "5")
 	c.Assert(err, qt.IsNil)
 	c.Check(running.status, qt.Equals, http.StatusConflict)
 	c.Check(running.outcome, qt.Equals, "unknown")
 	c.Check(running.header.Get("Retry-After"), qt.Equals, "1")
 	time.Sleep(time.Second)
-	ended, err := f.keyed(t.Context(), "k", "5")
+	ended, err := f.sendKeyed(t.Context(), "k", "5")
 	c.Assert(err, qt.IsNil)
 	c.Check(ended.body, qt.Equals, "receipt")
 	c.Check(b.runs.Load(), qt.Equals, int64(1))
@@ -139,22 +139,22 @@
 
 func TestPlatformDownRefusesKeyedCallsOnly(t *testing.T) {
 	c := qt.New(t)
-	f, s, b := startKeyed(t, func(w http.ResponseWriter, r *http.Request) {})
-	s.set(true)
-	began := time.Now()
-	refused, err := f.keyed(t.Context(), "k", "5")
+	f, s, b := startClaimFleet(t, func(w http.ResponseWriter, r *http.Request) {})
+	s.setDown(true)
+	started := time.Now()
+	refused, err := f.sendKeyed(t.Context(), "k", "5")
 	c.Assert(err, qt.IsNil)
 	c.Check(refused.status, qt.Equals, http.StatusServiceUnavailable)
 	c.Check(refused.outcome, qt.Equals, "not-run")
 	c.Check(refused.header.Get("Retry-After"), qt.Equals, "1")
-	c.Check(time.Since(began) < 5*time.Second, qt.IsTrue)
+	c.Check(time.Since(started) < 5*time.Second, qt.IsTrue)
 	c.Check(b.runs.Load(), qt.Equals, int64(0))
 	plain, err := f.call(http.MethodPost, plainPath, "5")
 	c.Assert(err, qt.IsNil)
 	c.Check(plain.outcome, qt.Equals, "completed")
-	s.set(false)
+	s.setDown(false)
 	time.Sleep(1200 * time.Millisecond)
-	served, err := f.keyed(t.Context(), "k", "5")
+	served, err := f.sendKeyed(t.Context(), "k", "5")
 	c.Assert(err, qt.IsNil)
 	c.Check(served.outcome, qt.Equals, "completed")
 	c.Check(b.runs.Load(), qt.Equals, int64(2))
--- a/transport/router/operators.go
+++ b/transport/router/operators.go
@@ -14,28 +14,30 @@
 	"goldcrestport/transport/platform"
 )
 
-// operatorView is the router as the operators' interface sees it.
+// operatorView implements operators.Router for a Router.
 type operatorView struct{ r *Router }
 
 // InForce implements operators.Router.
 func (v operatorView) InForce() *config.Document { return v.r.doc.Load() }
 
-// adoptWait bounds the wait until a document is in force here.
-const adoptWait = time.Second
+// adoptTimeout bounds the wait until a document is in force in this router.
+const adoptTimeout = time.Second
 
 // Adopt implements operators.Router.
 func (v operatorView) Adopt(d *config.Document) {
-	ctx, cancel := context.WithTimeout(v.r.ctx, adoptWait)
+	ctx, cancel := context.WithTimeout(v.r.ctx, adoptTimeout)
 	defer cancel()
 	v.r.spread.Accept(ctx, d)
 }
 
-// snapshotWait bounds the wait for the dispatcher, which may be busy or gone.
-const snapshotWait = time.Second
+// snapshotTimeout bounds the wait for the dispatcher, which may be busy or
+// stopped.
+const snapshotTimeout = time.Second
 
-// snapshot asks the dispatcher for its state; it is empty if no answer comes.
+// snapshot requests the dispatcher's state; it returns an empty one if the
+// dispatcher does not answer in time.
 func (r *Router) snapshot() dispatch.Snapshot {
-	ctx, cancel := context.WithTimeout(r.ctx, snapshotWait)
+	ctx, cancel := context.WithTimeout(r.ctx, snapshotTimeout)
 	defer cancel()
 	answer := make(chan dispatch.Snapshot, 1)
 	r.dispatcher.post(ctx, message{snapshot: answer})
@@ -47,8 +49,8 @@
 	}
 }
 
-// sidecars returns the sidecars of the platform's list by id, and whether the
-// list was ever read.
+// sidecars returns the sidecars in the platform's list by ID, and whether the
+// list is known.
 func (r *Router) sidecars() (map[string]platform.Instance, bool) {
 	out := map[string]platform.Instance{}
 	list, err := r.spread.Instances(r.ctx)
@@ -79,7 +81,7 @@
 		}
 	}
 	add(queuesOf(v.r.snapshot().Queues, teams))
-	v.r.eachRouter(ctx, teams, func(_ platform.Instance, answer *wire.SummaryResponse) {
+	v.r.forEachRouter(ctx, teams, func(_ platform.Instance, answer *wire.SummaryResponse) {
 		if answer == nil {
 			facts.SilentRouters++
 			return
@@ -101,11 +103,12 @@
 		out.Services = serviceStatus(doc, out.Backends)
 	}
 	addRouter(&out, r.summary(snapshot))
-	r.askRouters(ctx, &out)
+	r.queryRouters(ctx, &out)
 	return out
 }
 
-// backendStatus joins the platform's list with the open control streams.
+// backendStatus merges the platform's list with the state of the open control
+// streams.
 func (r *Router) backendStatus(doc *config.Document, peers []dispatch.SidecarState) []operator.Backend {
 	byID := map[string]operator.Backend{}
 	sidecars, _ := r.sidecars()
@@ -131,7 +134,7 @@
 	return out
 }
 
-// serviceStatus sums up the backend servers of each configured service.
+// serviceStatus aggregates the backend servers of each configured service.
 func serviceStatus(doc *config.Document, backends []operator.Backend) []operator.Service {
 	var out []operator.Service
 	for _, name := range slices.Sorted(maps.Keys(doc.Services)) {
--- a/transport/router/operators_test.go
+++ b/transport/router/operators_test.go
@@ -13,7 +13,7 @@
 	"goldcrestport/state/config"
 )
 
-func TestServiceStatusCountsWhatTakesWork(t *testing.T) {
+func TestServiceStatusCountsReadyBackends(t *testing.T) {
 	doc := &config.Document{Services: map[string]config.Service{
 		"glossa-pool": {Kind: config.KindModel}, "stringhub": {Kind: config.KindPlain},
 	}}
--- a/transport/router/outcomes_test.go
+++ b/transport/router/outcomes_test.go
@@ -14,9 +14,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An answer that the backend server cuts short never looks complete, whether
-// its length was told or not.
-func TestAnswerCutByTheBackendServer(t *testing.T) {
+// Guards against presenting an answer that the backend server truncated as
+// complete, with or without a declared length.
+func TestAnswerTruncatedByTheBackendServer(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := newBackend(t, warm(func(w http.ResponseWriter, r *http.Request) {
@@ -34,17 +34,18 @@
 	f.start()
 	for _, path := range []string{plainPath + "/flushed", lookupPath + "/flushed"} {
 		got, err := f.call(http.MethodPost, path, "{}")
-		c.Assert(err != nil || got.cut != nil, qt.IsTrue, qt.Commentf("%s: %+v", path, got))
+		c.Assert(err != nil || got.bodyErr != nil, qt.IsTrue, qt.Commentf("%s: %+v", path, got))
 	}
 	before := b.runs.Load()
 	got, err := f.call(http.MethodPost, plainPath+"/sized", "{}")
 	c.Assert(b.runs.Load()-before, qt.Equals, int64(1))
-	c.Assert(err != nil || got.cut != nil || got.outcome == "unknown", qt.IsTrue, qt.Commentf("%+v", got))
+	c.Assert(err != nil || got.bodyErr != nil || got.outcome == "unknown", qt.IsTrue, qt.Commentf("%+v", got))
 }
 
-// A call that the backend server breaks off before an answer is unknown if it
-// may not be repeated, and is repeated within a bound if it may.
-func TestCallBrokenOffByTheBackendServer(t *testing.T) {
+// Guards against repeating a non-idempotent call, and against repeating an
+// idempotent one without limit, when the backend server closes the connection
+// before it answers. Both end with an unknown outcome.
+func TestCallAbortedByTheBackendServer(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := newBackend(t, warm(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
@@ -61,7 +62,8 @@
 	}
 }
 
-// A backend server that can't be reached is proven not to have run the call.
+// Guards against an unknown outcome where not-run is certain: the backend server
+// cannot be reached.
 func TestUnreachableBackendServerIsNotRun(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -77,9 +79,10 @@
 	c.Assert(got.header.Get("Retry-After"), qt.Not(qt.Equals), "")
 }
 
-// An answer larger than the sidecar's window is whole, over cut links too, and
-// a slow caller holds the backend server back.
-func TestLargeAnswerIsHeldBackAndWhole(t *testing.T) {
+// Guards against truncation of an answer larger than the sidecar's window, also
+// when links are closed, and against missing backpressure: a slow caller slows
+// the backend server down.
+func TestLargeAnswerIsCompleteWithBackpressure(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	const size = 48 << 20
@@ -95,24 +98,24 @@
 		}
 	}))
 	f := newFleet(t)
-	relay := f.sidecar("sidecar-1", b.URL)
+	proxy := f.sidecar("sidecar-1", b.URL)
 	f.start()
 	resp, err := http.DefaultClient.Do(f.request(http.MethodPost, plainPath, "{}"))
 	c.Assert(err, qt.IsNil)
 	defer resp.Body.Close()
 	time.Sleep(500 * time.Millisecond)
-	held := wrote.Load()
-	c.Assert(held < size, qt.IsTrue, qt.Commentf("the backend server wrote %d bytes", held))
-	time.AfterFunc(20*time.Millisecond, relay.cut)
+	writtenUnread := wrote.Load()
+	c.Assert(writtenUnread < size, qt.IsTrue, qt.Commentf("the backend server wrote %d bytes", writtenUnread))
+	time.AfterFunc(20*time.Millisecond, proxy.closeConns)
 	n, err := io.Copy(io.Discard, resp.Body)
 	c.Assert(err, qt.IsNil)
 	c.Assert(n, qt.Equals, int64(size))
-	c.Logf("held back at %s", fmt.Sprint(held>>20, " MiB"))
+	c.Logf("backpressure after %s", fmt.Sprint(writtenUnread>>20, " MiB"))
 }
 
-// In HTTP/1.0 an answer may end with its connection; one that was cut short
-// ends with a reset instead.
-func TestCutAnswerResetsAnOldCaller(t *testing.T) {
+// Guards against a truncated answer that looks complete to an HTTP/1.0 caller,
+// for whom the close of the connection may end an answer: it ends with a reset.
+func TestTruncatedAnswerResetsHTTP10Caller(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := newBackend(t, warm(func(w http.ResponseWriter, _ *http.Request) {
@@ -134,7 +137,8 @@
 	c.Assert(err, qt.ErrorIs, syscall.ECONNRESET)
 }
 
-// A run that passes its deadline is ended, and is not called not-run.
+// Guards against runs that go on after their deadline, and against reporting
+// them as not-run.
 func TestDeadlineEndsARun(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/transport/router/overload_test.go
+++ b/transport/router/overload_test.go
@@ -14,8 +14,8 @@
 	"goldcrestport/protocol/settings"
 )
 
-// TestFullQueueIsRefusedAtOnce floods one backend server: what does not fit
-// gets its answer without waiting, and is never run.
+// Guards against queueing without limit: one backend server is overloaded, and
+// requests that do not fit into the queue are refused at once and never run.
 func TestFullQueueIsRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
@@ -32,7 +32,7 @@
 			replies <- r
 		}()
 	}
-	// Four slots, one pulled ahead and three waiting, at most.
+	// At most four in slots, one pulled in advance and three queued.
 	for range calls - 8 {
 		r := <-replies
 		c.Check(r.status, qt.Equals, http.StatusTooManyRequests)
@@ -51,12 +51,12 @@
 		c.Check(r.status, qt.Equals, http.StatusTooManyRequests)
 	}
 	c.Check(b.runs.Load()-ran, qt.Equals, completed)
-	// Calls that come at once may find the queue full before a pull empties
-	// it; what filled it is served.
+	// Concurrent calls may find the queue full before a pull takes from it; the
+	// three that filled it are served.
 	c.Check(completed >= 3, qt.IsTrue, qt.Commentf("%d", completed))
 }
 
-func TestDeadlineEndsTheWait(t *testing.T) {
+func TestDeadlineEndsQueueing(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
 	defer close(release)
@@ -67,29 +67,29 @@
 	for range 5 {
 		go func() { _, _ = f.call(http.MethodGet, lookupPath, "") }()
 	}
-	for b.runs.Load() < 5 { // the warm one and four slots
-		time.Sleep(testBackoff)
+	for b.runs.Load() < 5 { // the warm-up request and four slots
+		time.Sleep(pollInterval)
 	}
-	time.Sleep(10 * testBackoff)
+	time.Sleep(10 * pollInterval)
 	ran := b.runs.Load()
 	req := f.request(http.MethodGet, lookupPath, "")
 	req.Header.Set("Goldcrest-Deadline", "300ms")
-	began := time.Now()
+	started := time.Now()
 	client := &http.Client{Timeout: 10 * time.Second}
 	resp, err := client.Do(req)
 	c.Assert(err, qt.IsNil)
 	defer resp.Body.Close()
-	took := time.Since(began)
+	took := time.Since(started)
 	c.Check(resp.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 	c.Check(resp.Header.Get(outcome.Header), qt.Equals, string(outcome.NotRun))
 	c.Check(took >= 300*time.Millisecond && took < 2*time.Second, qt.IsTrue, qt.Commentf("%v", took))
 	c.Check(b.runs.Load(), qt.Equals, ran)
 }
 
-// TestFastFailureDoesNotAttractTheWork puts a backend server that fails at
-// once beside two that take their time. Without ejection it would take nearly
-// all requests.
-func TestFastFailureDoesNotAttractTheWork(t *testing.T) {
+// Guards against a backend server that fails fast and therefore attracts load:
+// without ejection it would get nearly all requests, because the two healthy ones
+// take longer.
+func TestFastFailingServerDoesNotAttractLoad(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(t)
 	good := newBackend(t, warm(func(http.ResponseWriter, *http.Request) { time.Sleep(20 * time.Millisecond) }))
--- a/transport/router/path_bench_test.go
+++ b/transport/router/path_bench_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// BenchmarkPath measures one request after the other through a router, a relay
-// and a sidecar in this process.
+// BenchmarkPath measures sequential requests through a router, a TCP proxy and a
+// sidecar in this process.
 func BenchmarkPath(b *testing.B) {
 	backend := newBackend(b, func(http.ResponseWriter, *http.Request) {})
 	f := newFleet(b)
--- a/transport/router/patience.go
+++ b/transport/router/patience.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// patientWriter gives the caller a bounded time to take each part of the
-// answer, so that a caller who stopped reading does not hold a slot.
-type patientWriter struct {
+// deadlineWriter limits the time a caller may take to read each part of the
+// answer, so that a caller that stopped reading does not occupy a slot.
+type deadlineWriter struct {
 	http.ResponseWriter
-	limit time.Duration
-	until time.Time
+	limit    time.Duration
+	deadline time.Time
 }
 
-func newPatientWriter(w http.ResponseWriter, limit time.Duration) *patientWriter {
-	p := &patientWriter{ResponseWriter: w, limit: limit}
-	// The connection may still have the deadline of an earlier request.
+func newDeadlineWriter(w http.ResponseWriter, limit time.Duration) *deadlineWriter {
+	p := &deadlineWriter{ResponseWriter: w, limit: limit}
+	// The connection may still have the write deadline of an earlier request.
 	p.extend()
 	return p
 }
 
-// extend moves the deadline. It moves in steps, since moving it costs.
-func (w *patientWriter) extend() {
+// extend moves the write deadline. It does so only when less than half of the
+// limit is left, since each move costs.
+func (w *deadlineWriter) extend() {
 	now := time.Now()
-	if w.until.Sub(now) < w.limit/2 {
-		w.until = now.Add(w.limit)
-		_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(w.until)
+	if w.deadline.Sub(now) < w.limit/2 {
+		w.deadline = now.Add(w.limit)
+		_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(w.deadline)
 	}
 }
 
-// Unwrap lets http.ResponseController reach the connection.
-func (w *patientWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap gives http.ResponseController access to the connection.
+func (w *deadlineWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *patientWriter) WriteHeader(status int) {
+func (w *deadlineWriter) WriteHeader(status int) {
 	w.extend()
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (w *patientWriter) Write(p []byte) (int, error) {
+func (w *deadlineWriter) Write(p []byte) (int, error) {
 	w.extend()
 	return w.ResponseWriter.Write(p)
 }
--- a/transport/router/relay.go
+++ b/transport/router/relay.go
@@ -9,56 +9,57 @@
 	"goldcrestport/protocol/wire"
 )
 
-// ackEvery is the number of answer bytes after which the sidecar is told that
-// it may forget them. It must be well below the sidecar's answer window.
+// ackEvery is the number of answer bytes after which they are acknowledged, so
+// that the sidecar can discard them. It must be well below the sidecar's answer
+// window.
 const ackEvery = 256 << 10
 
-// mostStatus is the greatest status that HTTP can tell.
-const mostStatus = 999
+// maxStatus is the highest status code that HTTP can represent.
+const maxStatus = 999
 
-// relayState is how far a relayed answer is.
+// relayState is the progress of a relayed answer.
 type relayState int
 
 const (
-	// relayOpen means that more is to come.
+	// relayOpen means that more messages are expected.
 	relayOpen relayState = iota
 	// relayDeclined means that the sidecar did not run the attempt.
 	relayDeclined
-	// relayEnded means that the end came and fits what was relayed.
+	// relayEnded means that the end message of the attempt was received.
 	relayEnded
-	// relayBroken means that a part is missing or belongs elsewhere; the
-	// answer can go on only by a resume.
+	// relayBroken means that a part is missing or belongs to another attempt;
+	// the answer can continue only after a resume.
 	relayBroken
-	// relayCallerGone means that the caller does not take the answer.
+	// relayCallerGone means that the caller no longer reads the answer.
 	relayCallerGone
 )
 
-// relay passes the answer of one request on to its caller, over one or more
-// streams of the same attempt, and checks that it is whole.
+// relay forwards the answer of one request to its caller, over one or more
+// streams of the same attempt, and verifies that it is complete.
 //
 // Invariant: the bytes written are a prefix of the answer of exactly one
-// attempt of one incarnation. A chunk that doesn't continue them is dropped
-// and counted.
+// attempt on one sidecar incarnation. A chunk that does not continue them is
+// dropped and counted.
 type relay struct {
-	w       http.ResponseWriter
-	flush   *http.ResponseController
-	id      string
-	metrics *metrics
-	trail   *trail
+	w        http.ResponseWriter
+	flush    *http.ResponseController
+	id       string
+	metrics  *metrics
+	observer *requestObserver
 
-	// number and incarnation of the attempt whose answer is relayed.
+	// number and incarnation identify the attempt whose answer is relayed.
 	number      uint32
 	incarnation string
 
-	// wrote tells that a part of the answer went to the caller.
+	// wrote is true once a part of the answer was written to the caller.
 	wrote  bool
 	offset int64
 	acked  int64
 	sum    *xxhash.Digest
 	end    *wire.End
-	// declined tells that the sidecar did not take the last attempt.
+	// declined is true if the sidecar declined the last attempt.
 	declined bool
-	// status of the backend server's answer.
+	// status is that of the backend server's answer.
 	status int
 }
 
@@ -66,14 +67,14 @@
 	return &relay{w: w, flush: http.NewResponseController(w), id: id, metrics: m, sum: xxhash.New()}
 }
 
-// expect sets the attempt whose answer is taken. It must not be called after
+// expect sets the attempt whose answer is relayed. It must not be called after
 // a part of another attempt's answer was written.
 func (l *relay) expect(number uint32, incarnation string) {
 	l.number, l.incarnation, l.declined = number, incarnation, false
 }
 
-// take handles one message of the stream.
-func (l *relay) take(down *wire.RunDown) relayState {
+// handle processes one message of the stream.
+func (l *relay) handle(down *wire.RunDown) relayState {
 	switch m := down.Kind.(type) {
 	case *wire.RunDown_Declined:
 		if l.wrote {
@@ -90,7 +91,7 @@
 			return s
 		}
 	case *wire.RunDown_End:
-		return l.close(m.End)
+		return l.finish(m.End)
 	}
 	if down.First != nil {
 		if s := l.chunk(down.First); s != relayOpen {
@@ -98,18 +99,18 @@
 		}
 	}
 	if down.Last != nil {
-		return l.close(down.Last)
+		return l.finish(down.Last)
 	}
 	return relayOpen
 }
 
-// head writes the head once. A resumed stream repeats it.
+// head writes the response head once; a resumed stream repeats it.
 func (l *relay) head(h *wire.Head) bool {
 	if l.incarnation != "" && h.Incarnation != l.incarnation {
 		l.metrics.dropped(chunkCrossed)
 		return false
 	}
-	if h.Status < http.StatusOK || h.Status > mostStatus {
+	if h.Status < http.StatusOK || h.Status > maxStatus {
 		l.metrics.dropped(answerMismatch)
 		return false
 	}
@@ -125,7 +126,7 @@
 	l.status = int(h.Status)
 	l.w.WriteHeader(l.status)
 	l.wrote = true
-	l.trail.answered()
+	l.observer.answered()
 	return true
 }
 
@@ -153,8 +154,9 @@
 	return relayOpen
 }
 
-// close checks the end against what was relayed.
-func (l *relay) close(e *wire.End) relayState {
+// finish handles the end message: a completed answer that is longer than what
+// was relayed counts as broken.
+func (l *relay) finish(e *wire.End) relayState {
 	if e.Attempt != l.number {
 		l.metrics.dropped(chunkCrossed)
 		return relayOpen
@@ -167,7 +169,7 @@
 	return relayEnded
 }
 
-// ackDue returns the offset to acknowledge, if it is time.
+// ackDue returns the offset to acknowledge, if an acknowledgement is due.
 func (l *relay) ackDue() (int64, bool) {
 	if l.offset-l.acked < ackEvery {
 		return 0, false
@@ -176,8 +178,9 @@
 	return l.offset, true
 }
 
-// whole reports whether the relayed bytes are exactly the answer.
-func (l *relay) whole() bool {
+// complete reports whether the relayed bytes match the length and checksum in
+// the end message.
+func (l *relay) complete() bool {
 	if l.end.Length != l.offset || l.end.Checksum != l.sum.Sum64() {
 		l.metrics.dropped(answerMismatch)
 		return false
--- a/transport/router/relay_test.go
+++ b/transport/router/relay_test.go
@@ -24,19 +24,20 @@
 	}}}
 }
 
-// Whatever comes late, crossed, twice or not at all: what the caller gets is a
-// prefix of its own answer, and only the whole one counts as whole.
-func TestRelayTakesOnlyItsOwnAnswer(t *testing.T) {
+// Guards against mixing answers: with late, foreign, repeated or missing
+// messages, the caller gets a prefix of its own answer, and only the full answer
+// counts as complete.
+func TestRelayAcceptsOnlyItsOwnAnswer(t *testing.T) {
 	tests := map[string]struct {
-		messages []*wire.RunDown
-		state    relayState
-		body     string
-		counted  string
-		whole    bool
+		messages  []*wire.RunDown
+		state     relayState
+		body      string
+		droppedAs string
+		complete  bool
 	}{
-		"whole":             {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), chunk(2, 2, "cd"), end(2, 4, "abcd")}, relayEnded, "abcd", "", true},
-		"crossed chunk":     {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), chunk(1, 2, "xx"), chunk(2, 2, "cd"), end(2, 4, "abcd")}, relayEnded, "abcd", chunkCrossed, true},
-		"crossed end":       {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), end(1, 2, "ab")}, relayOpen, "ab", chunkCrossed, false},
+		"complete":          {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), chunk(2, 2, "cd"), end(2, 4, "abcd")}, relayEnded, "abcd", "", true},
+		"foreign chunk":     {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), chunk(1, 2, "xx"), chunk(2, 2, "cd"), end(2, 4, "abcd")}, relayEnded, "abcd", chunkCrossed, true},
+		"foreign end":       {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), end(1, 2, "ab")}, relayOpen, "ab", chunkCrossed, false},
 		"repeated chunk":    {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), chunk(2, 0, "ab"), end(2, 2, "ab")}, relayEnded, "ab", chunkRepeated, true},
 		"missing chunk":     {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), chunk(2, 4, "ef")}, relayBroken, "ab", chunkMissing, false},
 		"missing at end":    {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), end(2, 4, "abcd")}, relayBroken, "ab", chunkMissing, false},
@@ -55,20 +56,20 @@
 			l.expect(2, "i")
 			var state relayState
 			for _, m := range test.messages {
-				state = l.take(m)
+				state = l.handle(m)
 			}
 			c.Assert(state, qt.Equals, test.state)
 			c.Assert(w.Body.String(), qt.Equals, test.body)
-			c.Assert(state == relayEnded && l.whole(), qt.Equals, test.whole)
-			if test.counted != "" {
-				c.Assert(counted(m, test.counted), qt.Equals, int64(1))
+			c.Assert(state == relayEnded && l.complete(), qt.Equals, test.complete)
+			if test.droppedAs != "" {
+				c.Assert(droppedCount(m, test.droppedAs), qt.Equals, int64(1))
 			}
 		})
 	}
 }
 
-func counted(m *metrics, kind string) int64 {
-	v, ok := m.chunks.Get(kind).(interface{ Value() int64 })
+func droppedCount(m *metrics, kind string) int64 {
+	v, ok := m.chunksDropped.Get(kind).(interface{ Value() int64 })
 	if !ok {
 		return 0
 	}
--- a/transport/router/result.go
+++ b/transport/router/result.go
@@ -7,18 +7,20 @@
 	"goldcrestport/protocol/outcome"
 )
 
-// again is the event that dispatches a request again: after a decline for
-// free, after a lost or failed attempt within the retry budget.
-func (c *call) again(d decision) dispatch.Event {
+// redispatchEvent returns the event that dispatches a request again. After a
+// decline this is free; after a lost or failed attempt it counts against the
+// retry budget.
+func (c *call) redispatchEvent(d decision) dispatch.Event {
 	if c.relay.declined {
 		return dispatch.Declined{ID: c.id, Sidecar: d.send.Sidecar}
 	}
 	return dispatch.Failed{ID: c.id, Sidecar: d.send.Sidecar, Retry: true}
 }
 
-// unstarted returns the pull of an attempt that was decided on after the
-// request's handler had left, 0 for none. Only then may it be called.
-func (c *call) unstarted() uint64 {
+// unstartedPull returns the pull of an attempt that was decided on but that the
+// request's handler did not receive, or 0 if there is none. It may be called
+// only after the handler stopped receiving decisions.
+func (c *call) unstartedPull() uint64 {
 	select {
 	case d := <-c.decisions:
 		if d.send != nil {
@@ -29,9 +31,9 @@
 	return 0
 }
 
-// result is the event that tells how the backend server did, or nil if the
-// outcome says nothing of it.
-func (c *call) result(d decision, o outcome.Outcome) dispatch.Event {
+// backendResult returns the event that reports the success or failure of the
+// backend server, or nil if the outcome says nothing about it.
+func (c *call) backendResult(d decision, o outcome.Outcome) dispatch.Event {
 	switch {
 	case o.Kind == outcome.Completed && c.relay.status < http.StatusInternalServerError:
 		return dispatch.Succeeded{ID: c.id, Sidecar: d.send.Sidecar}
@@ -41,9 +43,10 @@
 	return nil
 }
 
-// ended posts the result of the last attempt and the end of the request.
-func (r *Router) ended(c *call, d decision, o outcome.Outcome) {
-	if ev := c.result(d, o); ev != nil {
+// reportEnd sends the dispatcher the result of the last attempt and the end of
+// the request.
+func (r *Router) reportEnd(c *call, d decision, o outcome.Outcome) {
+	if ev := c.backendResult(d, o); ev != nil {
 		r.dispatcher.post(r.ctx, message{event: ev})
 	}
 	r.dispatcher.post(r.ctx, message{event: dispatch.Ended{ID: c.id, Cost: c.relay.end.GetCost()}})
--- a/transport/router/route.go
+++ b/transport/router/route.go
@@ -12,21 +12,21 @@
 	"goldcrestport/state/config"
 )
 
-// Paths towards callers.
+// Paths of the callers' interface.
 const (
 	chatPath    = "/v1/chat/completions"
 	servicePath = "/services/"
 )
 
-// target is where a request goes. The service of a chat completion is in its
-// body and is empty until that is read.
+// target is the service and path that a request is for. The service of a chat
+// completion is in its body and is empty until the body is read.
 type target struct {
 	kind    config.ServiceKind
 	service string
 	path    string
 }
 
-// route finds the target of a request by its path.
+// route determines the target of a request from its path.
 func route(req *http.Request) (target, *outcome.Outcome) {
 	path := req.URL.EscapedPath()
 	switch {
@@ -43,15 +43,16 @@
 	}
 }
 
-// routePlain splits the rest of a path into the service and its own path.
+// routePlain splits the path after servicePath into the service and the path on
+// that service.
 func routePlain(req *http.Request, rest string) (target, *outcome.Outcome) {
 	name, path, _ := strings.Cut(rest, "/")
 	service, err := url.PathUnescape(name)
 	if err != nil || service == "" {
 		return target{}, refuse(outcome.ReasonUnknownPath, http.StatusNotFound, "the path names no service")
 	}
-	if leavesRoot(rest) {
-		return target{}, refuse(outcome.ReasonBadRequest, http.StatusBadRequest, "the path must not hold . or .. segments or control characters")
+	if escapesRoot(rest) {
+		return target{}, refuse(outcome.ReasonBadRequest, http.StatusBadRequest, "the path must not contain . or .. segments or control characters")
 	}
 	path = "/" + path
 	if req.URL.RawQuery != "" {
@@ -60,9 +61,9 @@
 	return target{kind: config.KindPlain, service: service, path: path}, nil
 }
 
-// leavesRoot reports whether a path, once unescaped, could lead out of the
-// service's root or hide what it names.
-func leavesRoot(escaped string) bool {
+// escapesRoot reports whether a path, once unescaped, has segments that could
+// escape the service's root, or control characters.
+func escapesRoot(escaped string) bool {
 	path, err := url.PathUnescape(escaped)
 	if err != nil {
 		return true
@@ -75,7 +76,7 @@
 	return strings.ContainsFunc(path, func(c rune) bool { return c < ' ' || c == 0x7f })
 }
 
-// modelOf reads the model of a chat completion, which names the service.
+// modelOf returns the model of a chat completion, which is the service's name.
 func modelOf(body []byte) (string, error) {
 	var chat struct {
 		Model string `json:"model"`
@@ -89,8 +90,8 @@
 	return chat.Model, nil
 }
 
-// allowed finds the target's service and checks that the team may use it.
-func allowed(doc *config.Document, team config.Team, to target) (config.Service, *outcome.Outcome) {
+// authorize looks up the target's service and checks that the team may use it.
+func authorize(doc *config.Document, team config.Team, to target) (config.Service, *outcome.Outcome) {
 	service, ok := doc.Services[to.service]
 	switch {
 	case !ok:
@@ -108,7 +109,7 @@
 	}
 }
 
-// refuse returns a refusal without a time to come back.
+// refuse returns a refusal without a Retry-After hint.
 func refuse(reason outcome.Reason, status int, detail string) *outcome.Outcome {
 	o := outcome.Refuse(reason, status, 0, detail)
 	return &o
--- a/transport/router/router.go
+++ b/transport/router/router.go
@@ -1,8 +1,7 @@
-// Package router runs an entry process: it accepts callers and operators,
-// holds each request and its caller's connection, and hands the request to a
-// sidecar.
+// Package router implements the router process: it accepts connections from
+// callers and operators, queues requests and dispatches each one to a sidecar.
 //
-// cmd/goldcrestd calls it. It reaches sidecars over drpc.
+// cmd/goldcrestd runs it. It communicates with sidecars over drpc.
 package router
 
 import (
@@ -28,67 +27,69 @@
 	"goldcrestport/transport/spread"
 )
 
-// Bounds of the pool of idle connections to sidecars.
+// Limits of the pool of idle connections to sidecars.
 const (
 	idleConns        = 4096
 	idleConnsPerPeer = 64
 	idleConnTime     = time.Minute
 )
 
-// Router is the process.
+// Router is a router process.
 type Router struct {
 	wire.DRPCRouterUnimplementedServer
 
-	set        settings.Router
-	log        log.Logger
-	store      platform.Store
-	directory  platform.Directory
-	pool       *link.Pool
-	dispatcher *dispatcher
-	claims     *claims.Guard
-	metrics    *metrics
-	spread     *spread.Spreader
-	listing    *listing
-	tracer     *observe.Tracer
-	lines      *observe.LineLimit
-	bodies     *bodies
-	tokens     tokens
-	doc        atomic.Pointer[config.Document]
-	linkCount  atomic.Int64
-	ctx        context.Context
+	set          settings.Router
+	log          log.Logger
+	store        platform.Store
+	directory    platform.Directory
+	pool         *link.Pool
+	dispatcher   *dispatcher
+	claims       *claims.Guard
+	metrics      *metrics
+	spread       *spread.Spreader
+	listedStates *listedStates
+	tracer       *observe.Tracer
+	logLimit     *observe.LineLimit
+	bodies       *bodyBudget
+	tokens       tokens
+	doc          atomic.Pointer[config.Document]
+	linkCount    atomic.Int64
+	ctx          context.Context
 
-	// unready tells that the process says so; leaving that it refuses.
-	unready atomic.Bool
-	leaving atomic.Bool
-	// held counts the callers' requests that have not ended.
-	held atomic.Int64
-	// ending is done when held requests must end at once.
-	ending    context.Context
-	end       context.CancelFunc
-	abort     chan struct{}
-	abortOnce sync.Once
-	// sidecarReports maps a linked sidecar to its last *wire.Load.
+	// unready is true once the router reports that it is not ready, at the start
+	// of a shutdown; refusing is true once it refuses new requests.
+	unready  atomic.Bool
+	refusing atomic.Bool
+	// inFlight counts the callers' requests that have not ended.
+	inFlight atomic.Int64
+	// stopCtx is cancelled by cancelInFlight when the requests in flight must
+	// end at once.
+	stopCtx        context.Context
+	cancelInFlight context.CancelFunc
+	abort          chan struct{}
+	abortOnce      sync.Once
+	// sidecarReports maps the ID of a linked sidecar to its last *wire.Load.
 	sidecarReports sync.Map
 }
 
-// New returns a router that has not bound anything yet.
+// New returns a router that does not listen yet.
 func New(set settings.Router, store platform.Store, dir platform.Directory, logger log.Logger) *Router {
 	ending, end := context.WithCancel(context.Background())
 	m := newMetrics()
 	r := &Router{
-		ending:    ending,
-		end:       end,
-		abort:     make(chan struct{}),
-		set:       set,
-		log:       logger,
-		store:     store,
-		directory: dir,
-		pool:      link.NewPool(idleConns, idleConnsPerPeer, idleConnTime),
-		metrics:   m,
-		listing:   newListing(),
-		tracer:    observe.NoTracer(),
-		lines:     observe.NewLineLimit(m.lost),
-		bodies:    newBodies(set.Limits.Bodies.Bytes(), m.bodies),
+		stopCtx:        ending,
+		cancelInFlight: end,
+		abort:          make(chan struct{}),
+		set:            set,
+		log:            logger,
+		store:          store,
+		directory:      dir,
+		pool:           link.NewPool(idleConns, idleConnsPerPeer, idleConnTime),
+		metrics:        m,
+		listedStates:   newListedStates(),
+		tracer:         observe.NoTracer(),
+		logLimit:       observe.NewLineLimit(m.logLinesDropped),
+		bodies:         newBodyBudget(set.Limits.Bodies.Bytes(), m.bodies),
 	}
 	r.dispatcher = newDispatcher(dispatch.New(dispatchConfig(set)), r.doc.Load, newDispatchVars(r.metrics.vars))
 	r.spread = r.newSpreader()
@@ -96,7 +97,7 @@
 	return r
 }
 
-// SetTracer sets the tracer of the requests. It must be called before Serve.
+// SetTracer sets the tracer for requests. It must be called before Serve.
 func (r *Router) SetTracer(t *observe.Tracer) { r.tracer = t }
 
 func (r *Router) revision() uint64 {
@@ -106,8 +107,8 @@
 	return 0
 }
 
-// Serve binds the listeners and serves until stop is closed; it returns when
-// what it holds has ended or the stop bound has passed.
+// Serve binds the listeners and serves until stop is closed. It then returns
+// when the requests in flight have ended or the stop bound has passed.
 func (r *Router) Serve(stop <-chan struct{}) error {
 	if err := dispatchConfig(r.set).Validate(); err != nil {
 		return errors.Wrap(err, "settings")
@@ -137,19 +138,20 @@
 	r.claims.Start(ctx)
 	go r.dispatcher.run(ctx)
 	go r.spread.Run(ctx)
-	go r.keepBeating(ctx)
-	go (&links{r: r, open: map[string]context.CancelFunc{}}).run(ctx)
+	go r.sendHeartbeats(ctx)
+	go (&linkManager{r: r, open: map[string]context.CancelFunc{}}).run(ctx)
 	go func() { _ = r.operatorServer(mux).Serve(ops) }()
 	go func() { _ = link.ServeRouter(ctx, peers, r, r.claims) }()
-	go func() { _ = srv.Serve(r.boundCallers(callers)) }()
+	go func() { _ = srv.Serve(r.limitCallers(callers)) }()
 	_ = r.log.Log("event", "serving", "callers", r.set.Listen.Callers, "operators", r.set.Listen.Operators)
 	<-stop
-	r.leave(srv)
+	r.shutDown(srv)
 	r.flushClaims()
 	return nil
 }
 
-// operatorServer bounds what an operators' connection may take.
+// operatorServer returns the HTTP server of the operators' listener, with its
+// limits.
 func (r *Router) operatorServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
@@ -170,5 +172,5 @@
 	return r.spread.Ready()
 }
 
-// adopt puts a newer document in force.
+// adopt puts a newer configuration in force.
 func (r *Router) adopt(doc *config.Document) { r.doc.Store(doc) }
--- a/transport/router/settle.go
+++ b/transport/router/settle.go
@@ -9,24 +9,25 @@
 	"goldcrestport/protocol/wire"
 )
 
-// settle finds out how an attempt goes on whose stream broke off.
-func (r *Router) settle(ctx context.Context, f *flight, res result) attempt.Action {
+// settle determines what to do about an attempt whose stream was interrupted. It
+// queries the sidecar for the fate of the attempt until the core decides.
+func (r *Router) settle(ctx context.Context, f *sentAttempt, res streamResult) attempt.Action {
 	relay := f.c.relay
 	act := f.c.core.Step(time.Now(), attempt.Lost{Sent: res.sent, Delivered: relay.wrote, Offset: relay.offset})
 	for {
-		ask, ok := act.(attempt.Settle)
+		settle, ok := act.(attempt.Settle)
 		if !ok {
 			return act
 		}
-		if !pause(ctx, ask.After) {
+		if !sleep(ctx, settle.After) {
 			return attempt.Finish{Kind: attempt.Unknown, Cause: attempt.LinkLost}
 		}
-		act = f.c.core.Step(time.Now(), fateEvent(r.ask(f, false)))
+		act = f.c.core.Step(time.Now(), fateEvent(r.queryFate(f, false)))
 	}
 }
 
-// pause waits and reports whether the context still stands.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d; it returns false if ctx has ended.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -40,14 +41,14 @@
 	}
 }
 
-// ask asks the sidecar for the fate of the attempt once; no answer is nil. A
-// peek changes nothing there.
-func (r *Router) ask(f *flight, peek bool) *wire.SettleResponse {
+// queryFate queries the sidecar once for the fate of the attempt; it returns nil
+// if there is no answer. A peek does not change the sidecar's state.
+func (r *Router) queryFate(f *sentAttempt, peek bool) *wire.SettleResponse {
 	ctx, cancel := context.WithTimeout(r.ctx, settleTimeout)
 	defer cancel()
-	r.metrics.settles.Add(1)
-	// The answer is used only if it comes within the timeout, so this bounds
-	// the age at the time the sidecar sees the question.
+	r.metrics.settleQueries.Add(1)
+	// The answer is used only if it arrives within the timeout, so this is an
+	// upper bound of the attempt's age when the sidecar receives the query.
 	age := time.Since(f.sent) + settleTimeout
 	resp, err := r.pool.Sidecar(ctx, f.addr).Settle(ctx, &wire.SettleRequest{
 		Attempt: f.attempt,
@@ -79,82 +80,87 @@
 	return attempt.Gone
 }
 
-// Bounds of the watch over silent streams.
+// Limits for streams that receive nothing.
 const (
-	// silentFor is how long a stream may bring nothing before the sidecar is
-	// asked whether the attempt still stands.
-	silentFor = 3 * time.Second
-	// silentAsks is the number of questions in a row that may go unanswered.
-	silentAsks = 2
+	// silenceTimeout is how long a stream may receive nothing before the sidecar
+	// is queried for the state of the attempt.
+	silenceTimeout = 3 * time.Second
+	// maxMissedChecks is the number of failed checks in a row after which the
+	// stream is cancelled.
+	maxMissedChecks = 2
 )
 
-// silence watches one stream: a link that carries nothing any more does not
-// end by itself when the other side is frozen or cut off.
-type silence struct {
+// silenceWatch detects a stream that no longer carries data: its link does not
+// close by itself when the other side is frozen or partitioned.
+type silenceWatch struct {
 	timer *time.Timer
-	// offset delivered when the present wait began, notWaiting if none.
+	// offset is the number of bytes delivered when the current wait started, or
+	// one of the values below.
 	offset atomic.Int64
 	missed int
 	// cancel ends the stream.
 	cancel context.CancelFunc
 }
 
-// Values of silence.offset when no wait is on.
+// Values of silenceWatch.offset when nothing is awaited.
 const (
 	notWaiting   = -1
 	watchStopped = -2
 )
 
-// watchSilence cancels the stream when nothing comes and the sidecar does not
-// answer, does not know the attempt as running, or has more than came.
-func (r *Router) watchSilence(f *flight, cancel context.CancelFunc) *silence {
-	s := &silence{cancel: cancel}
-	s.timer = time.AfterFunc(silentFor, func() { s.look(func() *wire.SettleResponse { return r.ask(f, true) }) })
+// watchSilence starts a watch that cancels the stream when nothing is received
+// and the sidecar does not answer, does not report the attempt as running, or
+// has more bytes than were received.
+func (r *Router) watchSilence(f *sentAttempt, cancel context.CancelFunc) *silenceWatch {
+	s := &silenceWatch{cancel: cancel}
+	s.timer = time.AfterFunc(silenceTimeout, func() { s.check(func() *wire.SettleResponse { return r.queryFate(f, true) }) })
 	s.offset.Store(0)
 	return s
 }
 
-// look asks after a silent time and cancels the stream if it is broken.
-func (s *silence) look(ask func() *wire.SettleResponse) {
+// check queries the sidecar after silenceTimeout and cancels the stream if it is
+// broken.
+func (s *silenceWatch) check(query func() *wire.SettleResponse) {
 	offset := s.offset.Load()
 	switch offset {
 	case watchStopped:
 		return
 	case notWaiting:
-		s.timer.Reset(silentFor)
+		s.timer.Reset(silenceTimeout)
 		return
 	}
-	resp := ask()
+	resp := query()
 	if s.offset.Load() != offset {
-		return // something came meanwhile, and the timer is set again
+		return // a message arrived in the meantime and the timer was reset
 	}
 	switch {
 	case resp == nil:
 		s.missed++
 	case fateOf(resp.Fate) != attempt.Running || resp.Length > offset:
-		// It may be on its way just now, so it is asked once more.
+		// The missing message may still be in transit, so one more check
+		// follows.
 		s.missed++
 	default:
 		s.missed = 0
 	}
-	if s.missed >= silentAsks {
+	if s.missed >= maxMissedChecks {
 		s.cancel()
 		return
 	}
-	s.timer.Reset(silentFor)
+	s.timer.Reset(silenceTimeout)
 }
 
-// arm starts a wait for the stream, of which offset bytes were delivered.
-func (s *silence) arm(offset int64) {
+// arm starts a wait for the next message; offset bytes were delivered so far.
+func (s *silenceWatch) arm(offset int64) {
 	s.offset.Store(offset)
-	s.timer.Reset(silentFor)
+	s.timer.Reset(silenceTimeout)
 }
 
-// disarm ends a wait for the stream.
-func (s *silence) disarm() { s.offset.Store(notWaiting) }
+// disarm ends the wait for the next message.
+func (s *silenceWatch) disarm() { s.offset.Store(notWaiting) }
 
 // stop ends the watch.
-func (s *silence) stop() {
+func (s *silenceWatch) stop() {
 	s.offset.Store(watchStopped)
 	s.timer.Stop()
 }
--- a/transport/router/spread.go
+++ b/transport/router/spread.go
@@ -10,15 +10,15 @@
 	"goldcrestport/transport/spread"
 )
 
-// Heartbeats of routers: one per second for small pools, less often the more
-// links there are, so that their bytes per second stay bounded.
+// Heartbeat interval of routers: one second for small pools, longer with more
+// links, so that the heartbeats' bytes per second stay bounded.
 const (
-	minBeatEvery  = time.Second
-	beatEveryLink = 20 * time.Millisecond
+	minHeartbeatInterval     = time.Second
+	heartbeatIntervalPerLink = 20 * time.Millisecond
 )
 
-// newSpreader returns the duty that keeps the configuration and the instance
-// list of this router.
+// newSpreader returns the spreader that keeps this router's configuration and
+// instance list up to date.
 func (r *Router) newSpreader() *spread.Spreader {
 	cfg := corespread.DefaultConfig()
 	cfg.Self, cfg.DataCentre, cfg.Watches = r.set.ID, r.set.DataCentre, true
@@ -33,30 +33,30 @@
 		Log:            r.log,
 	})
 	s.OnDocument(r.adopt)
-	s.OnAnnounce(func(uint64) { r.beat() })
+	s.OnAnnounce(func(uint64) { r.sendHeartbeat() })
 	return s
 }
 
-// beat tells every linked sidecar the revision that is in force here.
-func (r *Router) beat() {
+// sendHeartbeat sends every linked sidecar the revision in force in this router.
+func (r *Router) sendHeartbeat() {
 	b := &wire.RouterBeat{Revision: r.spread.Revision(), ConfigAgeMs: r.spread.Age().Milliseconds()}
-	r.dispatcher.post(r.ctx, message{beat: b})
+	r.dispatcher.post(r.ctx, message{heartbeat: b})
 }
 
-// keepBeating sends heartbeats until ctx ends.
-func (r *Router) keepBeating(ctx context.Context) {
+// sendHeartbeats sends heartbeats until ctx ends.
+func (r *Router) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		links := time.Duration(r.linkCount.Load())
 		select {
 		case <-ctx.Done():
-		case <-time.After(max(minBeatEvery, links*beatEveryLink)):
-			r.beat()
+		case <-time.After(max(minHeartbeatInterval, links*heartbeatIntervalPerLink)):
+			r.sendHeartbeat()
 		}
 	}
 }
 
-// heard takes a sidecar's word on its revision.
-func (r *Router) heard(l *sidecarLink, load *wire.Load) {
+// revisionReported passes the revision that a sidecar reported to the spreader.
+func (r *Router) revisionReported(l *sidecarLink, load *wire.Load) {
 	age := wire.Millis(load.ConfigAgeMs)
 	r.spread.Heard(spread.Peer{Role: platform.RoleSidecar, Address: l.addr}, load.Revision, age)
 }
--- a/transport/router/summary.go
+++ b/transport/router/summary.go
@@ -13,14 +13,14 @@
 	"goldcrestport/transport/platform"
 )
 
-// Bounds of a question to all routers: the answers of 800 routers stay below a
-// megabyte and one that hangs doesn't hold up the rest.
+// Limits of a query to all routers: the answers of 800 routers stay below a
+// megabyte, and one router that hangs does not delay the others.
 const (
-	summaryQueues  = 10
-	statusQueues   = 100
-	summaryAsks    = 32
-	summaryTimeout = time.Second
-	statusTimeout  = 4 * time.Second
+	summaryQueues      = 10
+	statusQueues       = 100
+	summaryConcurrency = 32
+	summaryTimeout     = time.Second
+	statusTimeout      = 4 * time.Second
 )
 
 // Summary implements wire.DRPCRouterStatusServer.
@@ -52,7 +52,8 @@
 	}
 }
 
-// summary condenses the queues to a bounded size.
+// summary returns this router's status with its queues condensed to a bounded
+// size.
 func (r *Router) summary(s dispatch.Snapshot) *wire.SummaryResponse {
 	out := &wire.SummaryResponse{Router: r.set.ID, DataCentre: r.set.DataCentre, State: "ready", Revision: r.revision()}
 	if err := r.ready(); err != nil {
@@ -62,7 +63,8 @@
 	return out
 }
 
-// condense sums the queues up by service and keeps those that wait longest.
+// condense totals the queues by service and selects those whose oldest request
+// waits longest.
 func condense(queues []dispatch.QueueState) ([]*wire.ServiceBacklog, []*wire.QueueBacklog) {
 	var services []*wire.ServiceBacklog
 	for _, q := range queues {
@@ -83,9 +85,10 @@
 	return services, top
 }
 
-// askRouters adds what the other routers of the list answer in time.
-func (r *Router) askRouters(ctx context.Context, out *operator.Status) {
-	r.eachRouter(ctx, nil, func(i platform.Instance, answer *wire.SummaryResponse) {
+// queryRouters adds the summaries that the other routers in the list return in
+// time.
+func (r *Router) queryRouters(ctx context.Context, out *operator.Status) {
+	r.forEachRouter(ctx, nil, func(i platform.Instance, answer *wire.SummaryResponse) {
 		if answer == nil {
 			out.Routers = append(out.Routers, operator.Router{ID: i.ID, DataCentre: i.DataCentre, State: string(i.State)})
 			return
@@ -97,9 +100,10 @@
 	out.Queues = out.Queues[:min(len(out.Queues), statusQueues)]
 }
 
-// eachRouter asks the other routers of the list, some at a time, and calls take
-// with each answer, nil if none came in time. Calls of take don't overlap.
-func (r *Router) eachRouter(ctx context.Context, teams []string, take func(platform.Instance, *wire.SummaryResponse)) {
+// forEachRouter queries the other routers in the list with limited concurrency
+// and calls handle with each answer, or nil if there was none in time. Calls of
+// handle do not overlap.
+func (r *Router) forEachRouter(ctx context.Context, teams []string, handle func(platform.Instance, *wire.SummaryResponse)) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	list, err := r.spread.Instances(ctx)
@@ -107,26 +111,26 @@
 		return
 	}
 	var mu sync.Mutex
-	var asked sync.WaitGroup
-	slots := make(chan struct{}, summaryAsks)
+	var queries sync.WaitGroup
+	slots := make(chan struct{}, summaryConcurrency)
 	for _, i := range list {
 		if i.Role != platform.RoleRouter || i.ID == r.set.ID {
 			continue
 		}
 		slots <- struct{}{}
-		asked.Go(func() {
+		queries.Go(func() {
 			defer func() { <-slots }()
-			answer := r.askSummary(ctx, i.Address, teams)
+			answer := r.querySummary(ctx, i.Address, teams)
 			mu.Lock()
 			defer mu.Unlock()
-			take(i, answer)
+			handle(i, answer)
 		})
 	}
-	asked.Wait()
+	queries.Wait()
 }
 
-// askSummary returns nil if no answer comes in time.
-func (r *Router) askSummary(ctx context.Context, address string, teams []string) *wire.SummaryResponse {
+// querySummary queries one router; it returns nil if there is no answer in time.
+func (r *Router) querySummary(ctx context.Context, address string, teams []string) *wire.SummaryResponse {
 	ctx, cancel := context.WithTimeout(ctx, summaryTimeout)
 	defer cancel()
 	answer, err := wire.NewDRPCRouterStatusClient(r.pool.Get(ctx, address)).Summary(ctx, &wire.SummaryRequest{Teams: teams})
--- a/transport/router/trace_test.go
+++ b/transport/router/trace_test.go
@@ -18,7 +18,7 @@
 	"goldcrestport/transport/observe"
 )
 
-// safeBuffer is a buffer that may be written by many.
+// safeBuffer is a buffer for concurrent writers.
 type safeBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -36,27 +36,27 @@
 	return s.b.String()
 }
 
-// traces keeps the spans of a fleet in memory.
-type traces struct {
-	kept    *tracetest.InMemoryExporter
-	tracers []*observe.Tracer
+// traces stores the spans of a fleet in memory.
+type traceStore struct {
+	exporter *tracetest.InMemoryExporter
+	tracers  []*observe.Tracer
 }
 
-func (ts *traces) tracer(role string) *observe.Tracer {
-	t := observe.TracerTo(ts.kept, role, role, 1)
+func (ts *traceStore) tracer(role string) *observe.Tracer {
+	t := observe.TracerTo(ts.exporter, role, role, 1)
 	ts.tracers = append(ts.tracers, t)
 	return t
 }
 
-// of waits for the spans of a trace, which end a little after the answer.
-func (ts *traces) of(t *testing.T, traceID string, want int) map[string]tracetest.SpanStub {
+// spansOf waits for the spans of a trace, which end a little after the answer.
+func (ts *traceStore) spansOf(t *testing.T, traceID string, want int) map[string]tracetest.SpanStub {
 	out := map[string]tracetest.SpanStub{}
 	for range 500 {
 		for _, tracer := range ts.tracers {
 			qt.Assert(t, tracer.Flush(context.Background()), qt.IsNil)
 		}
 		clear(out)
-		for _, s := range ts.kept.GetSpans() {
+		for _, s := range ts.exporter.GetSpans() {
 			if s.SpanContext.TraceID().String() == traceID {
 				out[s.Name] = s
 			}
@@ -64,7 +64,7 @@
 		if len(out) == want {
 			return out
 		}
-		time.Sleep(testBackoff)
+		time.Sleep(pollInterval)
 	}
 	t.Fatalf("got the spans %v", out)
 	return nil
@@ -75,7 +75,7 @@
 	c := qt.New(t)
 	seen := make(chan string, 1)
 	b := newBackend(t, warm(func(_ http.ResponseWriter, r *http.Request) { seen <- r.Header.Get("Traceparent") }))
-	lines, spans := &safeBuffer{}, &traces{kept: tracetest.NewInMemoryExporter()}
+	lines, spans := &safeBuffer{}, &traceStore{exporter: tracetest.NewInMemoryExporter()}
 	f := newFleet(t)
 	f.logger, f.tracer = log.NewLogfmtLogger(log.NewSyncWriter(lines)), spans.tracer
 	f.sidecar("sidecar-1", b.URL)
@@ -88,7 +88,7 @@
 	c.Assert(resp.Body.Close(), qt.IsNil)
 	c.Assert(resp.StatusCode, qt.Equals, http.StatusOK)
 
-	got := spans.of(t, traceID, 5)
+	got := spans.spansOf(t, traceID, 5)
 	id := func(name string) string { return got[name].SpanContext.SpanID().String() }
 	for name, parent := range map[string]string{
 		observe.SpanReceive:  callerSpan,
@@ -106,8 +106,8 @@
 	}
 }
 
-// Every metric that a router or sidecar publishes is on the page, and one
-// request is in the summaries.
+// Guards against undocumented metrics: every metric that the router publishes is
+// in docs/METRICS.md. The summaries include the warm-up request.
 func TestMetricsAreDocumented(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -121,10 +121,10 @@
 		c.Check(strings.Contains(string(page), "`"+name+"`"), qt.IsTrue, qt.Commentf(name))
 	}
 	for _, name := range []string{"router_latency_us", "router_first_byte_us", "router_queue_wait_us"} {
-		// The end is counted a little after the answer.
+		// The end of the request is counted a little after the answer.
 		var summaries map[string]observe.Summary
 		for i := 0; i < 100 && summaries["ledger"].Count == 0; i++ {
-			time.Sleep(testBackoff)
+			time.Sleep(pollInterval)
 			c.Assert(json.Unmarshal(f.vars()[name], &summaries), qt.IsNil)
 		}
 		c.Check(summaries["ledger"].Count > 0, qt.IsTrue, qt.Commentf(name))
--- a/transport/router/trail.go
+++ b/transport/router/trail.go
@@ -16,15 +16,15 @@
 	"goldcrestport/transport/observe"
 )
 
-// trail is what is observed of one request: its spans, times and log line.
-// It belongs to the request's handler. A nil trail observes nothing.
-type trail struct {
+// requestObserver records the spans, metrics and log line of one request. Only
+// the request's handler uses it. A nil requestObserver records nothing.
+type requestObserver struct {
 	r        *Router
 	id       string
 	team     string
 	service  string
 	attempts uint32
-	began    time.Time
+	started  time.Time
 	queuedAt time.Time
 
 	// ctx carries the span of the whole request.
@@ -34,17 +34,17 @@
 	dispatch trace.Span
 }
 
-// newTrail begins to observe a request.
-func (r *Router) newTrail(req *http.Request) *trail {
-	t := &trail{r: r, id: uuid.NewString(), began: time.Now()}
+// newObserver starts to observe a request.
+func (r *Router) newObserver(req *http.Request) *requestObserver {
+	t := &requestObserver{r: r, id: uuid.NewString(), started: time.Now()}
 	ctx := r.tracer.Enter(req.Context(), req.Header.Get("Traceparent"))
 	t.ctx, t.span = r.tracer.Start(ctx, observe.SpanReceive, trace.SpanKindServer,
 		attribute.String("request.id", t.id))
 	return t
 }
 
-// queued marks that the request was handed to the dispatcher.
-func (t *trail) queued() {
+// queued records that the request was passed to the dispatcher.
+func (t *requestObserver) queued() {
 	if t == nil {
 		return
 	}
@@ -52,8 +52,9 @@
 	_, t.queue = t.r.tracer.Start(t.ctx, observe.SpanQueue, trace.SpanKindInternal)
 }
 
-// sent marks that an attempt goes to a sidecar and gives it the trace context.
-func (t *trail) sent(start *wire.RunStart, sidecar string) {
+// sent records that an attempt is sent to a sidecar and adds the trace context
+// to its start message.
+func (t *requestObserver) sent(start *wire.RunStart, sidecar string) {
 	if t == nil {
 		return
 	}
@@ -69,24 +70,24 @@
 	start.Traceparent = observe.Traceparent(ctx)
 }
 
-// returned marks the end of an attempt.
-func (t *trail) returned() {
+// returned records the end of an attempt.
+func (t *requestObserver) returned() {
 	if t != nil {
 		endSpan(&t.dispatch)
 	}
 }
 
-// answered marks the first byte towards the caller.
-func (t *trail) answered() {
+// answered records the first byte of the answer to the caller.
+func (t *requestObserver) answered() {
 	if t == nil {
 		return
 	}
 	now := time.Now()
-	t.r.metrics.firstByte.Record(t.service, now, now.Sub(t.began))
+	t.r.metrics.firstByte.Record(t.service, now, now.Sub(t.started))
 }
 
-// ended marks the request's one outcome.
-func (t *trail) ended(o outcome.Outcome) {
+// ended records the request's one outcome.
+func (t *requestObserver) ended(o outcome.Outcome) {
 	if t == nil {
 		return
 	}
@@ -97,7 +98,7 @@
 		m.reasons.Add(string(o.Reason), 1)
 	}
 	if o.Kind != outcome.NotRun {
-		m.latency.Record(t.service, now, now.Sub(t.began))
+		m.latency.Record(t.service, now, now.Sub(t.started))
 	}
 	t.log(o, now)
 	endSpan(&t.queue)
@@ -109,11 +110,11 @@
 	t.span.End()
 }
 
-// log writes the request's line. Refusals that say the same are limited.
-func (t *trail) log(o outcome.Outcome, now time.Time) {
+// log writes the request's log line. Identical refusals are rate limited.
+func (t *requestObserver) log(o outcome.Outcome, now time.Time) {
 	dropped := 0
 	if o.Kind == outcome.NotRun {
-		allowed, n := t.r.lines.Allow(string(o.Reason)+" "+t.team+" "+t.service, now)
+		allowed, n := t.r.logLimit.Allow(string(o.Reason)+" "+t.team+" "+t.service, now)
 		if !allowed {
 			return
 		}
@@ -125,14 +126,14 @@
 	}
 	line := []any{"event", "request_ended", "request", t.id, "trace", observe.TraceID(t.ctx),
 		"team", t.team, "service", t.service, "outcome", o.Kind, "reason", o.Reason,
-		"attempts", t.attempts, "us", now.Sub(t.began).Microseconds()}
+		"attempts", t.attempts, "us", now.Sub(t.started).Microseconds()}
 	if dropped > 0 {
 		line = append(line, "like_this_dropped", dropped)
 	}
 	_ = leveled(log.Logger(t.r.log)).Log(line...)
 }
 
-// endSpan ends a span once, if there is one.
+// endSpan ends the span if there is one, and clears it so that it ends once.
 func endSpan(span *trace.Span) {
 	if *span != nil {
 		(*span).End()
