--- a/transport/router/callers_test.go
+++ b/transport/router/callers_test.go
@@ -240,8 +240,8 @@
 		}
 		req.Header = header(headerKey, key, headerDeadline, deadline)
 		observer := r.newObserver(req)
-		content := requestBody{budget: r.bodies}
-		got, refused := r.admit(observer, &content, httptest.NewRecorder(), req)
+		reqBody := requestBody{budget: r.bodies}
+		got, refused := r.admit(observer, &reqBody, httptest.NewRecorder(), req)
 		if (got == nil) == (refused == nil) {
 			t.Fatal("want a call or a refusal")
 		}
@@ -253,7 +253,7 @@
 		} else {
 			c.Check(refused.Kind, quicktest.Equals, outcome.NotRun)
 		}
-		content.release()
+		reqBody.release()
 		c.Check(r.bodies.used, quicktest.Equals, int64(0))
 	})
 }
--- a/transport/router/link.go
+++ b/transport/router/link.go
@@ -78,7 +78,7 @@
 	l.r.listedStates.set(list)
 	routers := 0
 	for _, i := range list {
-		if !l.r.serves(i.DataCentre) {
+		if !l.r.servesDataCentre(i.DataCentre) {
 			continue
 		}
 		if i.Role == platform.RoleRouter && i.State == platform.StateLive {
@@ -104,8 +104,8 @@
 	}
 }
 
-// serves reports whether this router dispatches requests to the data centre.
-func (r *Router) serves(dataCentre string) bool {
+// servesDataCentre reports whether this router dispatches requests to the data centre.
+func (r *Router) servesDataCentre(dataCentre string) bool {
 	return len(r.set.Region) == 0 || slices.Contains(r.set.Region, dataCentre)
 }
 
--- a/transport/router/metrics.go
+++ b/transport/router/metrics.go
@@ -8,8 +8,8 @@
 
 // Reasons for dropping a part of an answer; keys of router_chunks_dropped.
 const (
-	// chunkCrossed: the part belongs to another attempt or incarnation.
-	chunkCrossed = "crossed"
+	// chunkForeign: the part belongs to another attempt or incarnation.
+	chunkForeign = "crossed"
 	// chunkRepeated: the part was already relayed.
 	chunkRepeated = "repeated"
 	// chunkMissing: an earlier part of the answer is missing.
--- a/transport/router/relay.go
+++ b/transport/router/relay.go
@@ -107,7 +107,7 @@
 // head writes the response head once; a resumed stream repeats it.
 func (l *relay) head(h *wire.Head) bool {
 	if l.incarnation != "" && h.Incarnation != l.incarnation {
-		l.metrics.dropped(chunkCrossed)
+		l.metrics.dropped(chunkForeign)
 		return false
 	}
 	if h.Status < http.StatusOK || h.Status > maxStatus {
@@ -134,7 +134,7 @@
 func (l *relay) chunk(c *wire.Chunk) relayState {
 	switch {
 	case c.Attempt != l.number:
-		l.metrics.dropped(chunkCrossed)
+		l.metrics.dropped(chunkForeign)
 		return relayOpen
 	case c.Offset < l.offset:
 		l.metrics.dropped(chunkRepeated)
@@ -158,7 +158,7 @@
 // was relayed counts as broken.
 func (l *relay) finish(e *wire.End) relayState {
 	if e.Attempt != l.number {
-		l.metrics.dropped(chunkCrossed)
+		l.metrics.dropped(chunkForeign)
 		return relayOpen
 	}
 	if e.Outcome == string(outcome.Completed) && e.Length > l.offset {
--- a/transport/router/relay_test.go
+++ b/transport/router/relay_test.go
@@ -36,14 +36,14 @@
 		complete  bool
 	}{
 		"complete":          {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), chunk(2, 2, "cd"), end(2, 4, "abcd")}, relayEnded, "abcd", "", true},
-		"foreign chunk":     {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), chunk(1, 2, "xx"), chunk(2, 2, "cd"), end(2, 4, "abcd")}, relayEnded, "abcd", chunkCrossed, true},
-		"foreign end":       {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), end(1, 2, "ab")}, relayOpen, "ab", chunkCrossed, false},
+		"foreign chunk":     {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), chunk(1, 2, "xx"), chunk(2, 2, "cd"), end(2, 4, "abcd")}, relayEnded, "abcd", chunkForeign, true},
+		"foreign end":       {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), end(1, 2, "ab")}, relayOpen, "ab", chunkForeign, false},
 		"repeated chunk":    {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), chunk(2, 0, "ab"), end(2, 2, "ab")}, relayEnded, "ab", chunkRepeated, true},
 		"missing chunk":     {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), chunk(2, 4, "ef")}, relayBroken, "ab", chunkMissing, false},
 		"missing at end":    {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), end(2, 4, "abcd")}, relayBroken, "ab", chunkMissing, false},
 		"missing head":      {[]*wire.RunDown{chunk(2, 0, "ab")}, relayBroken, "", chunkMissing, false},
-		"other incarnation": {[]*wire.RunDown{head("other")}, relayBroken, "", chunkCrossed, false},
-		"resumed by other":  {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), head("other")}, relayBroken, "ab", chunkCrossed, false},
+		"other incarnation": {[]*wire.RunDown{head("other")}, relayBroken, "", chunkForeign, false},
+		"resumed by other":  {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), head("other")}, relayBroken, "ab", chunkForeign, false},
 		"late decline":      {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), {Kind: &wire.RunDown_Declined{Declined: &wire.Declined{}}}}, relayBroken, "ab", "", false},
 		"wrong checksum":    {[]*wire.RunDown{head("i"), chunk(2, 0, "ab"), end(2, 2, "xx")}, relayEnded, "ab", answerMismatch, false},
 	}
