--- a/transport/router/attempt.go
+++ b/transport/router/attempt.go
@@ -106,14 +106,14 @@
 			Kind:   outcome.Unknown,
 			Reason: outcome.ReasonLeaving,
 			Status: http.StatusBadGateway,
-			Detail: "the router shut down while the request ran",
+			Detail: "the router stopped while the request ran",
 		}
 	}
 	return outcome.Outcome{
 		Kind:   outcome.Unknown,
 		Reason: outcome.ReasonCancelled,
 		Status: statusClientClosed,
-		Detail: "the caller disconnected while the request ran",
+		Detail: "the caller went away while the request ran",
 	}
 }
 
@@ -230,7 +230,7 @@
 		Kind:   kind,
 		Reason: reason,
 		Status: status,
-		Detail: "the backend server did not send a complete answer",
+		Detail: "the backend server did not give a whole answer",
 	}
 }
 
@@ -243,9 +243,9 @@
 	reason, detail := outcome.ReasonLinkLost, "the link to the backend server was lost"
 	switch f.Cause {
 	case attempt.AnswerLost:
-		reason, detail = outcome.ReasonAnswerLost, "the request ran, but its answer is no longer stored"
+		reason, detail = outcome.ReasonAnswerLost, "the request ran, but its answer is not kept any more"
 	case attempt.BackendServer:
-		reason, detail = outcome.ReasonBackend, "the backend server sent no answer"
+		reason, detail = outcome.ReasonBackend, "the backend server gave no answer"
 	}
 	if f.Kind == attempt.WasNotRun {
 		return outcome.Refuse(reason, http.StatusServiceUnavailable, retryAfterNotRun, detail+"; the request was not run")
--- a/transport/router/bodies.go
+++ b/transport/router/bodies.go
@@ -14,7 +14,7 @@
 const minBodyBuffer = 64 << 10
 
 // errBodiesFull means that the memory budget for request bodies is exhausted.
-var errBodiesFull = errors.New("the memory budget for request bodies is exhausted")
+var errBodiesFull = errors.New("the memory for request bodies is used up")
 
 // errBodyTooLarge means that a body exceeds the maximum size of one body.
 var errBodyTooLarge = errors.New("the body is too large")
--- a/transport/router/call.go
+++ b/transport/router/call.go
@@ -84,9 +84,9 @@
 // and logged.
 func queueCancelledOutcome(ctx context.Context, c *call) outcome.Outcome {
 	if errors.Is(context.Cause(ctx), errStopping) {
-		return unknownIfMayHaveRun(c, outcome.Refuse(outcome.ReasonLeaving, http.StatusServiceUnavailable, retryAfterNotRun, "this router is shutting down"))
+		return unknownIfMayHaveRun(c, outcome.Refuse(outcome.ReasonLeaving, http.StatusServiceUnavailable, retryAfterNotRun, "this router stops"))
 	}
-	return unknownIfMayHaveRun(c, outcome.Refuse(outcome.ReasonCancelled, statusClientClosed, 0, "the caller disconnected"))
+	return unknownIfMayHaveRun(c, outcome.Refuse(outcome.ReasonCancelled, statusClientClosed, 0, "the caller went away"))
 }
 
 // unknownIfMayHaveRun returns the refusal o, or unknown if an earlier attempt of
@@ -111,9 +111,9 @@
 	case dispatch.DeadlinePassed:
 		return outcome.Refuse(outcome.ReasonDeadline, http.StatusServiceUnavailable, a.RetryAfter, "the deadline passed before a backend server was free")
 	case dispatch.WaitTooLong:
-		return outcome.Refuse(outcome.ReasonDeadline, http.StatusServiceUnavailable, a.RetryAfter, "the estimated wait exceeds the deadline")
+		return outcome.Refuse(outcome.ReasonDeadline, http.StatusServiceUnavailable, a.RetryAfter, "the estimated wait passes the deadline")
 	case dispatch.RetryDenied:
-		return outcome.Refuse(outcome.ReasonRetryBudget, http.StatusServiceUnavailable, a.RetryAfter, "the retry budget is exhausted")
+		return outcome.Refuse(outcome.ReasonRetryBudget, http.StatusServiceUnavailable, a.RetryAfter, "too many attempts fail to try again")
 	default:
 		return outcome.Refuse(outcome.ReasonNoBackend, http.StatusServiceUnavailable, a.RetryAfter, "no backend server is known")
 	}
--- a/transport/router/callers.go
+++ b/transport/router/callers.go
@@ -112,7 +112,7 @@
 	case isOverLimit(req):
 		o = outcome.Refuse(outcome.ReasonConnections, http.StatusServiceUnavailable, retryAfterRefusal, "too many connections are open")
 	case r.refusing.Load():
-		o = outcome.Refuse(outcome.ReasonLeaving, http.StatusServiceUnavailable, retryAfterRefusal, "this router is shutting down")
+		o = outcome.Refuse(outcome.ReasonLeaving, http.StatusServiceUnavailable, retryAfterRefusal, "this router is leaving")
 	case doc == nil:
 		o = outcome.Refuse(outcome.ReasonNoConfig, http.StatusServiceUnavailable, retryAfterRefusal, "no configuration yet")
 	case !headersWithinLimits(req.Header, r.set.Limits):
@@ -168,13 +168,13 @@
 	case errors.Is(err, errBodyTooLarge):
 		return refuse(outcome.ReasonTooLarge, http.StatusRequestEntityTooLarge, "the body is too large")
 	case errors.Is(err, errBodiesFull):
-		o := outcome.Refuse(outcome.ReasonBodiesFull, http.StatusServiceUnavailable, retryAfterRefusal, "the memory budget for request bodies is exhausted")
+		o := outcome.Refuse(outcome.ReasonBodiesFull, http.StatusServiceUnavailable, retryAfterRefusal, "the memory for request bodies is used up")
 		return &o
 	case isTimeout(err):
-		o := outcome.Refuse(outcome.ReasonBodyTimeout, http.StatusRequestTimeout, retryAfterRefusal, "the body was not received within the time limit")
+		o := outcome.Refuse(outcome.ReasonBodyTimeout, http.StatusRequestTimeout, retryAfterRefusal, "the body came too slowly")
 		return &o
 	default:
-		return refuse(outcome.ReasonBadRequest, http.StatusBadRequest, "the body is incomplete")
+		return refuse(outcome.ReasonBadRequest, http.StatusBadRequest, "the body was cut short")
 	}
 }
 
--- a/transport/router/route.go
+++ b/transport/router/route.go
@@ -52,7 +52,7 @@
 		return target{}, refuse(outcome.ReasonUnknownPath, http.StatusNotFound, "the path names no service")
 	}
 	if escapesRoot(rest) {
-		return target{}, refuse(outcome.ReasonBadRequest, http.StatusBadRequest, "the path must not contain . or .. segments or control characters")
+		return target{}, refuse(outcome.ReasonBadRequest, http.StatusBadRequest, "the path must not hold . or .. segments or control characters")
 	}
 	path = "/" + path
 	if req.URL.RawQuery != "" {
