--- a/transport/backend/abandoned.go
+++ b/transport/backend/abandoned.go
@@ -7,34 +7,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// Way is how the connection of an exchange that was given up ended.
+// Way is how the connection of an abandoned exchange ended.
 type Way string
 
-// Ways in which connections end.
+// Ways in which the connection of an abandoned exchange ends.
 const (
-	// Reset: what was sent and has not arrived never does.
+	// Reset means that this process reset the connection, so that bytes still unacknowledged
+	// are never delivered.
 	Reset Way = "reset"
-	// Ended: its other end or the kernel had ended it before.
+	// Ended means that the peer or the kernel had closed the connection before.
 	Ended Way = "ended"
 )
 
-// Abandoned tells of an exchange that was given up after the first byte of its request was
-// written and before its answer was whole.
+// Abandoned describes an exchange that was abandoned after the first byte of its request was
+// written and before its response was complete.
 type Abandoned struct {
-	// Began is when the first byte was written.
+	// Began is when the first byte of the request was written.
 	Began time.Time
-	// Answered tells that the head of the answer had arrived.
+	// Answered reports whether the response header had arrived.
 	Answered bool
-	// Unacked is the number of bytes that the other end had not acknowledged; -1: not known.
+	// Unacked is the number of bytes that the peer had not acknowledged, or -1 if unknown.
 	Unacked int
-	// How the connection ended.
+	// How is how the connection ended.
 	How Way
-	// Err is what the exchange met; nil when its context ended or its caller wanted no more.
+	// Err is the error of the exchange; nil if its context ended or the caller closed the
+	// response early.
 	Err error
 }
 
-// unacked returns how many bytes that were written the other end has not acknowledged, or
-// -1 when the kernel does not say.
+// unacked returns the number of written bytes that the peer has not acknowledged, or -1 if
+// the kernel does not report it.
 func (c *conn) unacked() int {
 	sys, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/transport/backend/answer.go
+++ b/transport/backend/answer.go
@@ -15,100 +15,104 @@
 	"goldcrestport/transport/framing"
 )
 
-// Answer is the head of the server's answer and its body to come. Close must
-// be called once the body was read or is not wanted.
+// Answer is the header of the server's response and its body, which is streamed. Close must
+// be called once the body was read or is not needed.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length of the body in bytes, or -1 when it is not announced.
+	// Length is that of the body in bytes, or -1 if the response does not declare it.
 	Length int64
 	body   io.ReadCloser
 
-	pool    *Pool
-	conn    *conn
-	resp    *http.Response
-	written chan error
-	stop    func() bool
-	ended   bool
-	// failed is what broke the answer off, and bytes what was read of its body.
-	failed error
-	bytes  int64
-
-	// began is when the first byte of the request was written, answered tells that the head
-	// of its answer arrived, and abandoned is told when the exchange is given up.
-	began     time.Time
-	answered  atomic.Bool
-	abandoned func(Abandoned)
-
-	// attempt decides when the exchange is revoked. size is that of the whole request in
-	// bytes, and handed what of it was given to the kernel; arrived tells that the other end
-	// acknowledged all. Only looks use attempt and arrived.
-	attempt inflight.Attempt
-	size    int
-	handed  atomic.Int64
-	arrived bool
-	// revoked is why the exchange was given up while its context lasted.
-	revoked atomic.Pointer[error]
+	pool      *Pool
+	conn      *conn
+	resp      *http.Response
+	written   chan error
+	stop      func() bool
+	bodyEnded bool
+	// readErr is the error that ended the reading of the body, and bodyBytes is the number of
+	// bytes read.
+	readErr   error
+	bodyBytes int64
+
+	// startedAt is when the first byte of the request was written, headerReceived reports
+	// whether the response header arrived, and onAbandoned is called when the exchange is
+	// abandoned.
+	startedAt      time.Time
+	headerReceived atomic.Bool
+	onAbandoned    func(Abandoned)
+
+	// attempt decides when the exchange is revoked. size is the size of the whole request in
+	// bytes, and bytesWritten how much of it was written to the socket; allAcked reports
+	// whether the peer acknowledged all of it. attempt and allAcked are used only by
+	// exchangeSet's periodic check.
+	attempt      inflight.Attempt
+	size         int
+	bytesWritten atomic.Int64
+	allAcked     bool
+	// revokeReason is why the exchange was revoked before its context ended.
+	revokeReason atomic.Pointer[error]
 }
 
-func (a *Answer) take(resp *http.Response) {
-	a.answered.Store(true)
+func (a *Answer) setResponse(resp *http.Response) {
+	a.headerReceived.Store(true)
 	a.resp, a.body = resp, resp.Body
 	a.Status, a.Header, a.Length = resp.StatusCode, resp.Header, resp.ContentLength
 }
 
-// Read reads the body. io.EOF is the end of its framing, which is no mark where the body
-// ends with its connection: End tells.
+// Read reads the body. io.EOF marks the end of its framing. A body that is delimited by the
+// end of its connection has no end mark, so io.EOF does not prove it complete: see End.
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
-	a.bytes += int64(n)
+	a.bodyBytes += int64(n)
 	switch {
 	case errors.Is(err, io.EOF):
-		a.ended = true
+		a.bodyEnded = true
 	case err != nil:
 		err = a.cause(err)
-		a.failed = err
+		a.readErr = err
 	}
 	return n, err
 }
 
-// Framing returns how the answer tells where its body ends.
+// Framing returns how the end of the body is delimited.
 func (a *Answer) Framing() completeness.Framing { return framing.Of(a.resp) }
 
 // Bytes returns the number of bytes of the body that were read.
-func (a *Answer) Bytes() int64 { return a.bytes }
+func (a *Answer) Bytes() int64 { return a.bodyBytes }
 
-// End returns how the reading of the answer ended.
+// End returns how the reading of the response ended.
 func (a *Answer) End() completeness.End {
 	switch {
-	case a.ended, a.Length >= 0 && a.bytes == a.Length:
+	case a.bodyEnded, a.Length >= 0 && a.bodyBytes == a.Length:
 		return framing.End(a.Framing(), io.EOF)
-	case errors.Is(a.failed, ErrStalled), errors.Is(a.failed, ErrServerLeft):
+	case errors.Is(a.readErr, ErrStalled), errors.Is(a.readErr, ErrServerLeft):
 		return completeness.Reset
 	default:
-		return framing.End(a.Framing(), a.failed)
+		return framing.End(a.Framing(), a.readErr)
 	}
 }
 
-// Close gives the connection back when the exchange ended cleanly, and closes
-// it otherwise, which tells the server to stop its work.
+// Close returns the connection to the pool if the exchange ended cleanly, and closes it
+// otherwise, which makes the server stop working on the request.
 func (a *Answer) Close() {
 	if !a.reusable() {
 		a.stop()
-		a.end()
+		a.closeConn()
 		return
 	}
-	a.pool.flights.remove(a)
-	a.conn.expires = idleEnd(a.Header, time.Now())
+	a.pool.exchanges.remove(a)
+	a.conn.expiresAt = keepAliveExpiry(a.Header, time.Now())
 	a.pool.put(a.conn, time.Now())
 }
 
-// reusable reports whether nothing of this exchange is left on the connection.
+// reusable reports whether the connection can carry another exchange: nothing of this one is
+// unread or unwritten.
 func (a *Answer) reusable() bool {
-	if !a.ended && a.Length == 0 {
-		a.ended = true
+	if !a.bodyEnded && a.Length == 0 {
+		a.bodyEnded = true
 	}
-	if !a.ended || a.resp.Close || a.Framing() == completeness.Connection || a.conn.reader.Buffered() > 0 {
+	if !a.bodyEnded || a.resp.Close || a.Framing() == completeness.Connection || a.conn.reader.Buffered() > 0 {
 		return false
 	}
 	select {
@@ -122,33 +126,34 @@
 	return a.stop()
 }
 
-// end closes the connection after the answer, which is given up unless it was whole and
-// nothing of the request is left to write.
-func (a *Answer) end() {
-	if a.ended && a.wrote() {
-		a.pool.flights.remove(a)
+// closeConn closes the connection. The exchange counts as abandoned unless the response was
+// complete and the whole request was written.
+func (a *Answer) closeConn() {
+	if a.bodyEnded && a.fullyWritten() {
+		a.pool.exchanges.remove(a)
 		_ = a.conn.Close()
 		return
 	}
-	a.giveUp(Reset, a.failed)
+	a.abandon(Reset, a.readErr)
 }
 
-// wrote reports whether the whole request was written.
-func (a *Answer) wrote() bool { return int(a.handed.Load()) == a.size }
+// fullyWritten reports whether the whole request was written.
+func (a *Answer) fullyWritten() bool { return int(a.bytesWritten.Load()) == a.size }
 
-// giveUp ends an exchange that is not over, unless that is done already: its connection is
-// reset, so that what was sent and has not arrived never does.
-func (a *Answer) giveUp(how Way, err error) {
-	a.pool.flights.remove(a)
+// abandon ends an unfinished exchange, at most once: its connection is reset, so that bytes
+// that the server has not received yet are never delivered.
+func (a *Answer) abandon(how Way, err error) {
+	a.pool.exchanges.remove(a)
 	unacked := a.conn.unacked()
-	if !a.conn.reset() || a.abandoned == nil {
+	if !a.conn.reset() || a.onAbandoned == nil {
 		return
 	}
-	a.abandoned(Abandoned{Began: a.began, Answered: a.answered.Load(), Unacked: unacked, How: how, Err: err})
+	a.onAbandoned(Abandoned{Began: a.startedAt, Answered: a.headerReceived.Load(), Unacked: unacked, How: how, Err: err})
 }
 
-// idleEnd reads the server's idle timeout, whole seconds in Keep-Alive.
-func idleEnd(h http.Header, now time.Time) time.Time {
+// keepAliveExpiry returns when the server may close the connection, by the timeout parameter
+// (whole seconds) of its Keep-Alive header, or the zero time if there is none.
+func keepAliveExpiry(h http.Header, now time.Time) time.Time {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
--- a/transport/backend/backend_test.go
+++ b/transport/backend/backend_test.go
@@ -16,13 +16,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// server plays the part of a backend server over raw connections.
+// server is a test backend server on raw connections.
 type server struct {
 	target Target
 	conns  atomic.Int64
 }
 
-// serve starts a server whose connections are handled by the function.
+// serve starts a server that handles each connection with the function.
 func serve(c *qt.C, handle func(conn net.Conn, r *bufio.Reader)) *server {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -44,7 +44,7 @@
 	return s
 }
 
-// idHeader names the request in these tests.
+// idHeader carries the id of a request and of its response in these tests.
 const idHeader = "X-Id"
 
 func request(id string) Request {
@@ -54,7 +54,7 @@
 	}
 }
 
-// read reads one request and returns its id, or "".
+// read reads one request and returns its id, or "" on an error.
 func read(r *bufio.Reader) string {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", idHeader, id, len(body), body)
 }
 
-// get sends one request and returns the body of its answer.
+// get sends one request and returns the body of its response.
 func get(p *Pool, to Target, id string) (string, error) {
 	a, failure := p.Do(context.Background(), to, request(id))
 	if failure != nil {
@@ -79,7 +79,7 @@
 	return string(body), err
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	c := qt.New(t)
 	s := serve(c, func(conn net.Conn, r *bufio.Reader) {
 		for id := read(r); id != ""; id = read(r) {
@@ -93,8 +93,7 @@
 		c.Check(body, qt.Equals, fmt.Sprint("to r", i))
 	}
 	c.Check(s.conns.Load(), qt.Equals, int64(1))
-	// Another life of a server at the same address gets a connection of its
-	// own.
+	// Another incarnation of a server at the same address gets its own connection.
 	_, err := get(p, Target{ID: "i-2", Address: s.target.Address}, "x")
 	c.Assert(err, qt.IsNil)
 	c.Check(s.conns.Load(), qt.Equals, int64(2))
@@ -104,9 +103,9 @@
 	c.Check(s.conns.Load(), qt.Equals, int64(3))
 }
 
-// A request that is withdrawn when there is a connection for it leaves no byte there,
-// and the next one uses the connection.
-func TestAWithdrawnRequestIsNotSent(t *testing.T) {
+// A request that Begin cancels once a connection is available sends no byte, and the next
+// request uses the connection.
+func TestWithdrawnRequestIsNotSent(t *testing.T) {
 	c := qt.New(t)
 	var got atomic.Int64
 	s := serve(c, func(conn net.Conn, r *bufio.Reader) {
@@ -117,7 +116,7 @@
 	})
 	p := NewPool(DefaultConfig())
 	withdrawn := request("r1")
-	reason := errors.New("the server left")
+	reason := errors.New("server is draining")
 	withdrawn.Begin = func() error { return reason }
 	_, failure := p.Do(context.Background(), s.target, withdrawn)
 	c.Check(failure.Stage, qt.Equals, NotSent)
@@ -130,9 +129,9 @@
 	c.Check(s.conns.Load(), qt.Equals, int64(1))
 }
 
-// An answer that comes twice is never taken for that to the next request,
-// whether the second one comes at once or when the next request is sent.
-func TestAnAnswerThatComesTwiceReachesNobodyElse(t *testing.T) {
+// A duplicate response is never taken for the response to the next request, whether the
+// duplicate arrives at once or when the next request is sent.
+func TestDuplicateResponseIsNotGivenToAnotherRequest(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		c := qt.New(t)
 		s := serve(c, func(conn net.Conn, r *bufio.Reader) {
@@ -157,9 +156,9 @@
 	}
 }
 
-// A server may answer before it has read a long body and read on later: the
-// connection carries no further request meanwhile.
-func TestAnEarlyAnswerLeavesTheConnectionAlone(t *testing.T) {
+// A server may respond before it has read a long body and go on reading later: the connection
+// must not be reused meanwhile.
+func TestConnectionIsNotReusedAfterEarlyResponse(t *testing.T) {
 	c := qt.New(t)
 	s := serve(c, func(conn net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
@@ -185,7 +184,7 @@
 	c.Check(s.conns.Load(), qt.Equals, int64(2))
 }
 
-func TestOnlyWhatDidNotLeaveIsNotSent(t *testing.T) {
+func TestStageIsNotSentOnlyIfNoByteWasSent(t *testing.T) {
 	c := qt.New(t)
 	p := NewPool(DefaultConfig())
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -214,9 +213,9 @@
 	}
 }
 
-// An answer that breaks off is an error at its end, and its connection is not
-// used again; one without length is whole only when the connection ends well.
-func TestBrokenAnswersAreNotWhole(t *testing.T) {
+// A truncated response ends with an error and its connection is not reused; a response
+// without a length is complete only if its connection was closed without a reset.
+func TestTruncatedResponsesAreNotComplete(t *testing.T) {
 	for name, tc := range map[string]struct {
 		text  string
 		reset bool
@@ -244,8 +243,8 @@
 	}
 }
 
-// The server sees the end of the connection as soon as the caller leaves.
-func TestCancellingClosesTheConnection(t *testing.T) {
+// The server sees the connection close as soon as the request's context is cancelled.
+func TestCancelClosesConnection(t *testing.T) {
 	c := qt.New(t)
 	closed := make(chan struct{})
 	s := serve(c, func(_ net.Conn, r *bufio.Reader) {
@@ -265,9 +264,9 @@
 	}
 }
 
-// A connection that the server closed, or that is near its idle timeout, is not
-// used: what is sent on it would be lost.
-func TestOldIdleConnectionsAreNotUsed(t *testing.T) {
+// A connection that the server closed, or that is near its idle timeout, is not used: a
+// request sent on it would be lost.
+func TestExpiredIdleConnectionsAreNotUsed(t *testing.T) {
 	c := qt.New(t)
 	s := serve(c, func(conn net.Conn, r *bufio.Reader) {
 		id := read(r)
@@ -288,7 +287,7 @@
 	})
 	_, err := get(p, short.target, "a")
 	c.Assert(err, qt.IsNil)
-	c.Check(p.take("i-1", time.Now().Add(600*time.Millisecond)), qt.IsNil)
+	c.Check(p.takeIdle("i-1", time.Now().Add(600*time.Millisecond)), qt.IsNil)
 	_, err = get(p, short.target, "b")
 	c.Assert(err, qt.IsNil)
 	p.Sweep(time.Now().Add(time.Minute))
@@ -297,14 +296,14 @@
 	p.mu.Unlock()
 }
 
-// What an answer says of its server holds for when its request was sent: the answer may have
-// been held on its way.
-func TestAnAnswerSpeaksForTheTimeOfItsRequest(t *testing.T) {
+// Answered reports the time at which the request was sent, not that at which its response
+// arrived: the response may have been delayed in transit.
+func TestAnsweredIsTheSendTimeOfTheRequest(t *testing.T) {
 	c := qt.New(t)
-	const thinks = 100 * time.Millisecond
+	const responseDelay = 100 * time.Millisecond
 	s := serve(c, func(conn net.Conn, r *bufio.Reader) {
 		for id := read(r); id != ""; id = read(r) {
-			time.Sleep(thinks)
+			time.Sleep(responseDelay)
 			_, _ = io.WriteString(conn, answer(id, ""))
 		}
 	})
@@ -314,5 +313,5 @@
 	_, err := get(p, s.target, "r1")
 	c.Assert(err, qt.IsNil)
 	at := p.Answered(s.target.ID)
-	c.Check(!at.Before(before) && at.Before(before.Add(thinks)), qt.IsTrue, qt.Commentf("%v", at.Sub(before)))
+	c.Check(!at.Before(before) && at.Before(before.Add(responseDelay)), qt.IsTrue, qt.Commentf("%v", at.Sub(before)))
 }
--- a/transport/backend/conn.go
+++ b/transport/backend/conn.go
@@ -14,70 +14,70 @@
 	"goldcrestport/transport/revocable"
 )
 
-// readBuffer is the size of a connection's read buffer, in bytes. It holds the
-// head of an answer and some tens of events.
+// readBuffer is the size of a connection's read buffer, in bytes. A response header and some
+// tens of streamed events fit in it.
 const readBuffer = 4096
 
 // conn is one connection to a server. It carries one exchange at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// owner is the server's id for which the connection was opened, and peer what is known
-	// of that server.
-	owner string
-	peer  *peer
-	// expires is when the server may close it for being idle; zero if it did
-	// not say.
-	expires time.Time
-	idle    time.Time
-	// used tells that an exchange went over it before.
-	used  bool
-	ended sync.Once
-	// reading tells that bytes of the server are awaited.
+	// serverID is the id of the server for which the connection was opened, and peer the
+	// state that its connections share.
+	serverID string
+	peer     *peer
+	// expiresAt is when the server may close the connection for being idle; zero if it did
+	// not announce a timeout.
+	expiresAt time.Time
+	idleSince time.Time
+	// used reports whether the connection carried an exchange before.
+	used      bool
+	closeOnce sync.Once
+	// reading reports whether a Read is waiting for bytes of the server.
 	reading atomic.Bool
 }
 
 // Close closes a connection that carries no exchange, once.
 func (c *conn) Close() error {
 	var err error
-	c.ended.Do(func() {
+	c.closeOnce.Do(func() {
 		revocable.Settle(c.Conn)
 		err = c.Conn.Close()
 	})
 	return err
 }
 
-// reset ends a connection that carries an exchange, and reports whether it was open. Once it
-// returns, nothing of the exchange is in the kernel any more, whoever ended it: a Read that the
-// end woke may be over before.
+// reset closes a connection that carries an exchange, and reports whether it was open. Once
+// it returns, the kernel has discarded all bytes of the exchange, whichever goroutine closed
+// the connection. A Read that the close interrupts may return earlier than that.
 func (c *conn) reset() bool {
 	wasOpen := false
-	c.ended.Do(func() {
+	c.closeOnce.Do(func() {
 		wasOpen = true
-		// It resets: nothing that it carries goes on. The error tells nothing that the
-		// exchange does not know.
+		// Close sends a reset, as the linger time is zero, and discards unsent bytes. Its
+		// error adds nothing to what the exchange reports.
 		_ = c.Conn.Close()
 	})
 	return wasOpen
 }
 
-// Read implements io.Reader and notes that the server was heard.
+// Read implements io.Reader and records when bytes of the server last arrived.
 func (c *conn) Read(b []byte) (int, error) {
 	c.reading.Store(true)
 	n, err := c.Conn.Read(b)
 	c.reading.Store(false)
 	if n > 0 {
-		c.peer.heard.Store(sinceEpoch())
+		c.peer.lastReceived.Store(sinceEpoch())
 	}
 	return n, err
 }
 
-// noKeepAlive is net.Dialer's word for none.
+// noKeepAlive is the value with which net.Dialer disables keep-alive probes.
 const noKeepAlive = -1
 
-// dialer opens connections without time-outs of the kernel's: it would end them without a word
-// to the other end, and what was on its way would live on. What it finds, looks at exchanges
-// find.
+// dialer opens connections without the kernel's keep-alive timeouts. The kernel would drop
+// such a connection without notifying the peer, and bytes in transit could still be delivered.
+// The periodic check of exchanges detects the same failures.
 func dialer(cfg Config) *net.Dialer {
 	return &net.Dialer{Timeout: cfg.DialTimeout, KeepAlive: noKeepAlive}
 }
@@ -88,14 +88,14 @@
 		return nil, err
 	}
 	p.dials.Add(1)
-	c := &conn{Conn: raw, owner: to.ID, peer: p.peerOf(to.ID)}
+	c := &conn{Conn: raw, serverID: to.ID, peer: p.peerOf(to.ID)}
 	c.reader = bufio.NewReaderSize(c, readBuffer)
 	return c, nil
 }
 
-// quiet reports whether an idle connection is still open and has nothing to
-// read: neither its end nor bytes that belong to no request.
-func (c *conn) quiet() bool {
+// isOpenAndEmpty reports whether an idle connection is still open and has nothing to read:
+// neither its end nor bytes that belong to no request.
+func (c *conn) isOpenAndEmpty() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -107,12 +107,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, readErr := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = readErr == unix.EAGAIN
+		empty = readErr == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
--- a/transport/backend/exchange.go
+++ b/transport/backend/exchange.go
@@ -10,40 +10,41 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Stage tells how far a failed exchange came.
+// Stage is how far a failed exchange got.
 type Stage int
 
 // Stages of failure.
 const (
-	// NotSent means that not a byte of the request left: it has not run.
+	// NotSent means that no byte of the request was sent: it has not run.
 	NotSent Stage = iota
-	// MaybeRun means that the request was sent and has no whole answer.
+	// MaybeRun means that some of the request was sent and no response header was received:
+	// the server may have run it.
 	MaybeRun
 )
 
-// Failure is the outcome of an exchange without an answer.
+// Failure is the outcome of an exchange that got no response.
 type Failure struct {
 	Stage Stage
 	Err   error
 }
 
-// ErrStrange means that the server sent bytes that are not the answer.
-var ErrStrange = errors.New("bytes that are no answer to the request")
+// ErrStrange means that the server sent something other than the response to the request.
+var ErrStrange = errors.New("unexpected data instead of a response to the request")
 
-// ErrWithdrawn marks the errors of requests that were not to be sent any more when
-// there was a connection for them.
-var ErrWithdrawn = errors.New("withdrawn before it was sent")
+// ErrWithdrawn marks the errors of requests that Request.Begin cancelled once a connection
+// was available.
+var ErrWithdrawn = errors.New("request withdrawn before it was sent")
 
-// maxStray bounds the answers to other requests that are skipped, and
-// maxStrayBytes the body of each.
+// maxStray bounds the number of responses that are read for one request, including those to
+// other requests, which are skipped; maxStrayBytes bounds the body of a skipped one.
 const (
 	maxStray      = 3
 	maxStrayBytes = 1 << 20
 )
 
-// Do sends the request and returns the head of the answer, or a failure. The
-// connection is reset as soon as ctx is done, or when what was sent makes no progress, or
-// when the server leaves and is silent.
+// Do sends the request and returns the response with its header read, or a failure. The
+// connection is reset as soon as ctx is done, when the sent bytes make no progress, or when
+// the server is draining or gone and sends nothing.
 func (p *Pool) Do(ctx context.Context, to Target, req Request) (*Answer, *Failure) {
 	c, err := p.get(ctx, to)
 	if err != nil {
@@ -58,39 +59,39 @@
 		return nil, &Failure{Stage: NotSent, Err: errors.Mark(err, ErrWithdrawn)}
 	}
 	data := encode(req)
-	a := &Answer{pool: p, conn: c, written: make(chan error, 1), began: time.Now(), abandoned: req.Abandoned, size: len(data)}
-	a.stop = context.AfterFunc(ctx, func() { a.giveUp(Reset, nil) })
-	p.flights.add(a)
+	a := &Answer{pool: p, conn: c, written: make(chan error, 1), startedAt: time.Now(), onAbandoned: req.Abandoned, size: len(data)}
+	a.stop = context.AfterFunc(ctx, func() { a.abandon(Reset, nil) })
+	p.exchanges.add(a)
 	a.send(data)
 	if err := a.readHead(req); err != nil {
 		a.stop()
 		err = a.cause(err)
-		a.giveUp(Ended, err)
+		a.abandon(Ended, err)
 		return nil, &Failure{Stage: MaybeRun, Err: err}
 	}
 	return a, nil
 }
 
-// readHead reads up to the head of the request's own answer.
+// readHead reads up to the header of the response that belongs to the request.
 func (a *Answer) readHead(req Request) error {
 	for range maxStray {
 		resp, err := readResponse(a.conn.reader, req.Method)
 		if err != nil {
 			return err
 		}
-		a.conn.peer.answers(a.began)
+		a.conn.peer.noteAnswered(a.startedAt)
 		if req.Head(resp.StatusCode, resp.Header) {
-			a.take(resp)
+			a.setResponse(resp)
 			return nil
 		}
-		if err := skip(resp); err != nil {
+		if err := discardResponse(resp); err != nil {
 			return err
 		}
 	}
-	return errors.Wrap(ErrStrange, "too many answers to other requests")
+	return errors.Wrap(ErrStrange, "too many responses to other requests")
 }
 
-// readResponse reads one final head; interim ones are passed over.
+// readResponse reads the header of one final response; interim (1xx) responses are skipped.
 func readResponse(r *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(r, &http.Request{Method: method})
@@ -98,7 +99,7 @@
 			return nil, err
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.Wrap(ErrStrange, "protocol switch")
+			return nil, errors.Wrap(ErrStrange, "server switched protocols")
 		}
 		if resp.StatusCode >= http.StatusOK {
 			return resp, nil
@@ -106,17 +107,17 @@
 	}
 }
 
-// skip reads the answer to another request to its end.
-func skip(resp *http.Response) error {
+// discardResponse reads the response to another request to its end.
+func discardResponse(resp *http.Response) error {
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		return errors.Wrap(ErrStrange, "an answer without length to another request")
+		return errors.Wrap(ErrStrange, "response to another request has no length")
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayBytes))
 	if err != nil {
 		return err
 	}
 	if n == maxStrayBytes {
-		return errors.Wrap(ErrStrange, "a long answer to another request")
+		return errors.Wrap(ErrStrange, "response to another request is too long")
 	}
 	return nil
 }
--- a/transport/backend/exchange_bench_test.go
+++ b/transport/backend/exchange_bench_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// BenchmarkExchange measures a short request and its answer on a kept connection.
+// BenchmarkExchange measures a short request and its response on a reused connection.
 func BenchmarkExchange(b *testing.B) {
 	s := serve(qt.New(b), func(conn net.Conn, r *bufio.Reader) {
 		for id := read(r); id != ""; id = read(r) {
--- a/transport/backend/flights.go
+++ b/transport/backend/flights.go
@@ -10,29 +10,30 @@
 	"goldcrestport/coordination/inflight"
 )
 
-// Reasons for which an exchange is revoked while its context lasts.
+// Reasons for which an exchange is revoked before its context ends.
 var (
-	// ErrStalled: what was sent makes no progress.
+	// ErrStalled means that the sent bytes make no progress.
 	ErrStalled = errors.New("no progress of what was sent")
-	// ErrServerLeft: the server leaves and is silent.
-	ErrServerLeft = errors.New("the server left before it answered")
+	// ErrServerLeft means that the server is draining or gone and sends nothing.
+	ErrServerLeft = errors.New("server shut down before it responded")
 )
 
-// lookEvery is the time between two looks at the exchanges under way.
-const lookEvery = 100 * time.Millisecond
+// checkInterval is the time between two checks of the exchanges in flight.
+const checkInterval = 100 * time.Millisecond
 
-// epoch is what times of peers count from, as readings of the steady clock.
+// epoch is the origin of the times in peer, which are monotonic clock readings.
 var epoch = time.Now()
 
-// peer is what all connections to one server know of it. Times are nanoseconds since epoch;
-// 0: never.
+// peer is the state that all connections to one server share. Times are nanoseconds since
+// epoch; 0 means never.
 type peer struct {
-	// heard is when bytes of it arrived last, answered when the youngest request was sent of
-	// which the head of an answer arrived: the answer itself may have been held on its way.
-	heard    atomic.Int64
-	answered atomic.Int64
-	// left is since when it is known to leave or to be gone.
-	left atomic.Int64
+	// lastReceived is when bytes of the server last arrived. lastAnswered is the send time of
+	// the latest request whose response header arrived; the arrival time is not used, as the
+	// response may have been delayed in transit.
+	lastReceived atomic.Int64
+	lastAnswered atomic.Int64
+	// drainingSince is since when the server is known to be draining or gone.
+	drainingSince atomic.Int64
 }
 
 func sinceEpoch() int64 { return max(1, int64(time.Since(epoch))) }
@@ -45,84 +46,84 @@
 	return time.Time{}
 }
 
-// answers notes that the head of an answer arrived to a request that was sent at the time.
-func (p *peer) answers(sent time.Time) {
+// noteAnswered records that a response header arrived for a request sent at the given time.
+func (p *peer) noteAnswered(sent time.Time) {
 	at := max(1, int64(sent.Sub(epoch)))
-	if at > p.answered.Load() {
-		p.answered.Store(at)
+	if at > p.lastAnswered.Load() {
+		p.lastAnswered.Store(at)
 	}
 }
 
-// flights are the exchanges whose requests may be on their way yet. One goroutine looks at
-// them while there are any.
-type flights struct {
+// exchangeSet is the set of exchanges in flight. One goroutine checks them periodically while
+// there are any.
+type exchangeSet struct {
 	cfg inflight.Config
 
 	mu      sync.Mutex
 	all     map[*Answer]struct{}
-	looking bool
+	running bool
 }
 
-// add takes an exchange whose first byte is written now.
-func (f *flights) add(a *Answer) {
-	a.attempt = inflight.Begin(&f.cfg, a.began, a.size)
+// add adds an exchange whose first byte is about to be written.
+func (f *exchangeSet) add(a *Answer) {
+	a.attempt = inflight.Begin(&f.cfg, a.startedAt, a.size)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.all[a] = struct{}{}
-	if !f.looking {
-		f.looking = true
+	if !f.running {
+		f.running = true
 		go f.run()
 	}
 }
 
-// remove forgets an exchange that is over.
-func (f *flights) remove(a *Answer) {
+// remove removes a finished exchange.
+func (f *exchangeSet) remove(a *Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.all, a)
 }
 
-// run looks at the exchanges until there are none.
-func (f *flights) run() {
-	ticker := time.NewTicker(lookEvery)
+// run checks the exchanges until there are none.
+func (f *exchangeSet) run() {
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for now := range ticker.C {
-		for a, why := range f.look(now) {
-			a.revoke(why)
+		for a, reason := range f.check(now) {
+			a.revoke(reason)
 		}
-		if f.rest() {
+		if f.stopIfEmpty() {
 			return
 		}
 	}
 }
 
-// rest ends the looks if there is nothing to look at, and reports whether it did.
-func (f *flights) rest() bool {
+// stopIfEmpty marks the checks as stopped if the set is empty, and reports whether it did.
+func (f *exchangeSet) stopIfEmpty() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.looking = len(f.all) > 0
-	return !f.looking
+	f.running = len(f.all) > 0
+	return !f.running
 }
 
-// look looks at each exchange once and returns those to revoke, with the reason.
-func (f *flights) look(now time.Time) map[*Answer]error {
+// check checks each exchange once and returns those to revoke, with the reason.
+func (f *exchangeSet) check(now time.Time) map[*Answer]error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var revoked map[*Answer]error
+	var toRevoke map[*Answer]error
 	for a := range f.all {
-		verdict := a.attempt.Look(now, a.seen(now))
+		verdict := a.attempt.Look(now, a.observe(now))
 		if verdict == inflight.Keep {
 			continue
 		}
 		delete(f.all, a)
-		if why := reasonOf(verdict); why != nil {
-			if revoked == nil {
-				revoked = make(map[*Answer]error)
+		if reason := reasonOf(verdict); reason != nil {
+			if toRevoke == nil {
+				toRevoke = make(map[*Answer]error)
 			}
-			revoked[a] = why
+			toRevoke[a] = reason
 		}
 	}
-	return revoked
+	return toRevoke
 }
 
 func reasonOf(v inflight.Verdict) error {
@@ -136,42 +137,42 @@
 	}
 }
 
-// seen is what is seen of the exchange now.
-func (a *Answer) seen(now time.Time) inflight.Look {
+// observe returns the current state of the exchange.
+func (a *Answer) observe(now time.Time) inflight.Look {
 	l := inflight.Look{
-		Pending: a.pending(), Answered: a.answered.Load(),
-		Heard: timeOf(&a.conn.peer.heard), DrainingSince: timeOf(&a.conn.peer.left),
+		Pending: a.pending(), Answered: a.headerReceived.Load(),
+		Heard: timeOf(&a.conn.peer.lastReceived), DrainingSince: timeOf(&a.conn.peer.drainingSince),
 	}
 	if l.Answered && !a.conn.reading.Load() {
-		// It is the caller who is slow: there may be bytes to hear.
+		// The caller is slow, not the server: bytes may wait unread in the socket buffer.
 		l.Heard = now
 	}
 	return l
 }
 
-// pending returns how many bytes of the request the other end has not acknowledged. Once it
-// has all, the kernel is not asked again. Where the kernel does not say, what was written
-// counts as acknowledged.
+// pending returns the number of bytes of the request that the peer has not acknowledged. Once
+// all are acknowledged, the kernel is not queried again. If the kernel does not report the
+// number, written bytes count as acknowledged.
 func (a *Answer) pending() int {
-	if a.arrived {
+	if a.allAcked {
 		return 0
 	}
-	unwritten := a.size - int(a.handed.Load())
+	unwritten := a.size - int(a.bytesWritten.Load())
 	pending := unwritten + max(0, a.conn.unacked())
-	a.arrived = pending == 0
+	a.allAcked = pending == 0
 	return pending
 }
 
-// revoke gives the exchange up so that no byte of it arrives any more.
-func (a *Answer) revoke(why error) {
-	a.revoked.Store(&why)
-	a.giveUp(Reset, why)
+// revoke abandons the exchange so that no further byte of it is delivered.
+func (a *Answer) revoke(reason error) {
+	a.revokeReason.Store(&reason)
+	a.abandon(Reset, reason)
 }
 
-// cause returns why the exchange was revoked, or what it met.
+// cause returns the reason for which the exchange was revoked, or else the error met.
 func (a *Answer) cause(met error) error {
-	if why := a.revoked.Load(); why != nil {
-		return *why
+	if reason := a.revokeReason.Load(); reason != nil {
+		return *reason
 	}
 	return met
 }
--- a/transport/backend/held_test.go
+++ b/transport/backend/held_test.go
@@ -16,22 +16,23 @@
 	"goldcrestport/standin/relay"
 )
 
-// links hold what is sent to a server: acknowledged, or in the sender's kernel.
-var links = map[string]func(addr, target string) (*relay.Relay, error){
+// stalledPaths are the relays whose paths can be stalled: one acknowledges the bytes that it does not
+// forward, the other leaves most of them in the sender's kernel.
+var stalledPaths = map[string]func(addr, target string) (*relay.Relay, error){
 	"acknowledged by the path": relay.Listen,
 	"in the sender's kernel":   relay.ListenTight,
 }
 
-// heldBody is larger than what a tight link acknowledges while it holds, in bytes.
-const heldBody = 200_000
+// stalledBodySize is larger than what a tight relay acknowledges while it is stalled, in bytes.
+const stalledBodySize = 200_000
 
-// healTime is the time that held bytes have to arrive once the path is whole.
+// healTime is the time that the delayed bytes have to arrive once the path forwards again.
 const healTime = 300 * time.Millisecond
 
-// heldRequest sends a request on a kept connection whose path holds what is sent, heals the
-// path once the exchange is over, and returns the failure and how many requests the server
-// got by then.
-func heldRequest(c *qt.C, listen func(addr, target string) (*relay.Relay, error), ctx context.Context, wait time.Duration) (*Failure, int64) {
+// requestOnStalledPath sends a request on a reused connection whose path is stalled, restores
+// the path after the exchange, and returns the failure and how many requests the server has
+// received by then.
+func requestOnStalledPath(c *qt.C, listen func(addr, target string) (*relay.Relay, error), ctx context.Context, wait time.Duration) (*Failure, int64) {
 	var got atomic.Int64
 	s := serve(c, func(conn net.Conn, r *bufio.Reader) {
 		for id := read(r); id != ""; id = read(r) {
@@ -48,7 +49,7 @@
 	c.Assert(err, qt.IsNil)
 	link.Hold()
 	req := request("r1")
-	req.Body = make([]byte, heldBody)
+	req.Body = make([]byte, stalledBodySize)
 	_, failure := p.Do(ctx, to, req)
 	time.Sleep(wait)
 	link.Heal()
@@ -56,66 +57,66 @@
 	return failure, got.Load() - 1
 }
 
-// Guards against a request that runs after its caller left: its bytes were held on the path
-// and went on when that was whole again.
-func TestTheBytesOfACancelledRequestDoNotArriveLater(t *testing.T) {
-	for name, listen := range links {
+// Guards against a request that runs after its caller cancelled it: its bytes were delayed on
+// the path and delivered once the path forwarded again.
+func TestBytesOfCancelledRequestAreNotDeliveredLater(t *testing.T) {
+	for name, listen := range stalledPaths {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			ctx, cancel := context.WithCancel(context.Background())
 			time.AfterFunc(100*time.Millisecond, cancel)
-			failure, got := heldRequest(c, listen, ctx, 20*time.Millisecond)
+			failure, got := requestOnStalledPath(c, listen, ctx, 20*time.Millisecond)
 			c.Check(failure, qt.IsNotNil)
 			c.Check(got, qt.Equals, int64(0))
 		})
 	}
 }
 
-// Guards against a request that runs after its deadline: its bytes were held on the path and
-// went on when that was whole again.
-func TestTheBytesOfARequestPastItsDeadlineDoNotArriveLater(t *testing.T) {
-	for name, listen := range links {
+// Guards against a request that runs after its deadline: its bytes were delayed on the path
+// and delivered once the path forwarded again.
+func TestBytesOfTimedOutRequestAreNotDeliveredLater(t *testing.T) {
+	for name, listen := range stalledPaths {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 			defer cancel()
-			failure, got := heldRequest(c, listen, ctx, 20*time.Millisecond)
+			failure, got := requestOnStalledPath(c, listen, ctx, 20*time.Millisecond)
 			c.Check(failure, qt.IsNotNil)
 			c.Check(got, qt.Equals, int64(0))
 		})
 	}
 }
 
-// Guards against a request that runs at a server after it was given up for want of progress,
-// and was sent to another one: its bytes lay in the sender's kernel.
-func TestTheBytesOfARequestWithoutProgressDoNotArriveLater(t *testing.T) {
+// Guards against a request that runs on one server after it was abandoned as stalled and sent
+// to another: its bytes were still queued in the sender's kernel.
+func TestBytesOfStalledRequestAreNotDeliveredLater(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
 	began := time.Now()
-	failure, got := heldRequest(c, relay.ListenTight, ctx, 0)
+	failure, got := requestOnStalledPath(c, relay.ListenTight, ctx, 0)
 	c.Assert(failure, qt.IsNotNil)
 	c.Check(time.Since(began) < 2*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 	c.Check(got, qt.Equals, int64(0))
 }
 
-// slowToReset is a connection whose end wakes its reader some time before its reset is out, as
-// the end of one that is being written to does on a busy host.
+// slowToReset is a connection whose Close interrupts its reader some time before the reset is
+// sent, as happens on a busy host when the connection is being written to.
 type slowToReset struct {
 	net.Conn
-	isOut atomic.Bool
+	resetSent atomic.Bool
 }
 
 func (s *slowToReset) Close() error {
 	_ = s.SetReadDeadline(time.Unix(1, 0))
 	time.Sleep(50 * time.Millisecond)
-	s.isOut.Store(true)
+	s.resetSent.Store(true)
 	return s.Conn.Close()
 }
 
-// Guards against a request that is sent to another server while its bytes at the first can
-// arrive yet: the exchange was over before its connection was reset.
-func TestAnExchangeThatWasGivenUpIsOverOnceItsConnectionIsReset(t *testing.T) {
+// Guards against a request that is sent to another server while its bytes can still reach the
+// first: Do returned before the connection was reset.
+func TestDoReturnsOnlyAfterTheConnectionIsReset(t *testing.T) {
 	c := qt.New(t)
 	s := serve(c, func(_ net.Conn, r *bufio.Reader) {
 		for read(r) != "" {
@@ -131,12 +132,12 @@
 	time.AfterFunc(20*time.Millisecond, cancel)
 	_, failure := p.Do(ctx, s.target, request("r1"))
 	c.Assert(failure, qt.IsNotNil)
-	c.Check(slow.isOut.Load(), qt.IsTrue)
+	c.Check(slow.resetSent.Load(), qt.IsTrue)
 }
 
-// Guards against a request that runs at a server after the kernel ended its connection without
-// a word to the other end: neither its keep-alive nor a bound on unacknowledged bytes may be on.
-func TestTheKernelGivesUpNoBytesOnTheirWay(t *testing.T) {
+// Guards against a request that runs on a server after the kernel dropped its connection without
+// notifying the peer: neither keep-alive nor TCP_USER_TIMEOUT may be set.
+func TestKernelTimeoutsAreDisabled(t *testing.T) {
 	c := qt.New(t)
 	s := serve(c, func(conn net.Conn, r *bufio.Reader) {
 		for id := read(r); id != ""; id = read(r) {
@@ -146,7 +147,7 @@
 	p := NewPool(DefaultConfig())
 	_, err := get(p, s.target, "r0")
 	c.Assert(err, qt.IsNil)
-	raw, err := p.take("i-1", time.Now()).Conn.(*net.TCPConn).SyscallConn()
+	raw, err := p.takeIdle("i-1", time.Now()).Conn.(*net.TCPConn).SyscallConn()
 	c.Assert(err, qt.IsNil)
 	c.Assert(raw.Control(func(fd uintptr) {
 		keepAlive, err := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_KEEPALIVE)
@@ -158,9 +159,9 @@
 	}), qt.IsNil)
 }
 
-// Guards against an answer that is cut for a caller on a slow path: a server that leaves is not
-// silent while nobody reads what it sends.
-func TestAnAnswerThatNobodyReadsIsNotSilence(t *testing.T) {
+// Guards against a response that is cut off for a slow caller: a draining server does not count
+// as silent while the bytes that it sent wait unread.
+func TestUnreadResponseDoesNotCountAsSilence(t *testing.T) {
 	const size = 8 << 20
 	c := qt.New(t)
 	s := serve(c, func(conn net.Conn, r *bufio.Reader) {
--- a/transport/backend/pool.go
+++ b/transport/backend/pool.go
@@ -1,9 +1,9 @@
-// Package backend carries requests to backend servers over HTTP/1.1 and tells
-// for certain whether a request that failed may have run.
+// Package backend sends requests to backend servers over HTTP/1.1 and reports reliably
+// whether a failed request may have run.
 //
-// It keeps its own connections instead of those of http.Transport, which
-// repeats some requests by itself and hides whether bytes were sent. Parsing is
-// net/http's. transport/direct calls it.
+// It has its own connection pool instead of http.Transport, which retries some requests by
+// itself and hides whether bytes were sent. Messages are parsed by net/http. The package is
+// used by transport/direct.
 package backend
 
 import (
@@ -17,19 +17,19 @@
 	"goldcrestport/transport/probe"
 )
 
-// Config holds the times of a Pool.
+// Config holds the timeouts and limits of a Pool.
 type Config struct {
-	// DialTimeout bounds the opening of a connection. Default 200ms: a
-	// handshake takes some milliseconds; a lost opening packet is sent again
-	// after a second, when another server is the better choice.
+	// DialTimeout bounds the opening of a connection. Default 200ms: a handshake takes some
+	// milliseconds; a lost SYN is retransmitted only after a second, by when another server
+	// is the better choice.
 	DialTimeout time.Duration
-	// InFlight bounds what is on its way to a server.
+	// InFlight configures when an exchange in flight is revoked.
 	InFlight inflight.Config
-	// IdleTime bounds the time that a connection is kept without an exchange.
+	// IdleTime bounds the time for which an idle connection is kept.
 	// Default 20s.
 	IdleTime time.Duration
-	// IdleMargin is how long before the server's own idle timeout a
-	// connection is given up. Default 500ms.
+	// IdleMargin is how long before the server's own idle timeout a connection is no longer
+	// used. Default 500ms.
 	IdleMargin time.Duration
 	// IdlePerServer bounds the idle connections to one server. Default 64.
 	IdlePerServer int
@@ -46,10 +46,10 @@
 	}
 }
 
-// Target names the server of an exchange.
+// Target identifies the server of an exchange.
 type Target struct {
-	// ID of the server's incarnation. Connections are never shared between two
-	// ids, even at one address.
+	// ID is that of the server's incarnation. Connections are never shared between two ids,
+	// even at one address.
 	ID      string
 	Address string
 }
@@ -60,22 +60,22 @@
 	dialer *net.Dialer
 	dials  atomic.Int64
 
-	flights flights
+	exchanges exchangeSet
 
 	mu    sync.Mutex
 	idle  map[string][]*conn
 	peers map[string]*peer
 }
 
-// NewPool returns a pool without connections. The config must be valid.
+// NewPool returns an empty pool. The config must be valid.
 func NewPool(cfg Config) *Pool {
 	return &Pool{
 		cfg: cfg, dialer: dialer(cfg), idle: make(map[string][]*conn), peers: make(map[string]*peer),
-		flights: flights{cfg: cfg.InFlight, all: make(map[*Answer]struct{})},
+		exchanges: exchangeSet{cfg: cfg.InFlight, all: make(map[*Answer]struct{})},
 	}
 }
 
-// peerOf returns what is known of the server.
+// peerOf returns the shared state of the server, which it creates if needed.
 func (p *Pool) peerOf(id string) *peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,25 +87,25 @@
 	return one
 }
 
-// Answered returns when the youngest request was sent that the server has answered; the zero
-// time: it has answered none.
+// Answered returns the send time of the latest request that the server has answered, or the
+// zero time if it has answered none.
 func (p *Pool) Answered(id string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if one := p.peers[id]; one != nil {
-		return timeOf(&one.answered)
+		return timeOf(&one.lastAnswered)
 	}
 	return time.Time{}
 }
 
-// Returned notes that a server may get work, also one that was known to leave.
-func (p *Pool) Returned(id string) { p.peerOf(id).left.Store(0) }
+// Returned records that a server may receive requests, also one that was marked by Left.
+func (p *Pool) Returned(id string) { p.peerOf(id).drainingSince.Store(0) }
 
 // Dials returns the number of connections opened so far.
 func (p *Pool) Dials() int64 { return p.dials.Load() }
 
-// Left notes that a server leaves or is gone.
-func (p *Pool) Left(id string) { p.peerOf(id).left.CompareAndSwap(0, sinceEpoch()) }
+// Left records that a server is draining or gone.
+func (p *Pool) Left(id string) { p.peerOf(id).drainingSince.CompareAndSwap(0, sinceEpoch()) }
 
 // Forget closes the idle connections to a server that is gone.
 func (p *Pool) Forget(id string) {
@@ -118,9 +118,9 @@
 	}
 }
 
-// Sweep closes connections that were idle for too long.
+// Sweep closes connections that have been idle for too long.
 func (p *Pool) Sweep(now time.Time) {
-	var old []*conn
+	var expired []*conn
 	p.mu.Lock()
 	for id, conns := range p.idle {
 		keep := conns[:0]
@@ -128,25 +128,27 @@
 			if p.usable(c, now) {
 				keep = append(keep, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
 		p.idle[id] = keep
 	}
-	p.forget()
+	p.forgetPeers()
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		_ = c.Close()
 	}
 }
 
-// peerTime is how long a server that left is remembered, longer than exchanges last.
-const peerTime = time.Minute
+// peerRetention is how long the state of a server that is draining or gone is kept; exchanges
+// take less time than that.
+const peerRetention = time.Minute
 
-// forget drops the servers that left long ago. The caller holds mu.
-func (p *Pool) forget() {
+// forgetPeers drops the state of servers that left longer than peerRetention ago. The caller
+// must hold mu.
+func (p *Pool) forgetPeers() {
 	for id, one := range p.peers {
-		if left := one.left.Load(); left != 0 && sinceEpoch()-left > int64(peerTime) {
+		if left := one.drainingSince.Load(); left != 0 && sinceEpoch()-left > int64(peerRetention) {
 			delete(p.peers, id)
 			delete(p.idle, id)
 		}
@@ -154,28 +156,28 @@
 }
 
 func (p *Pool) usable(c *conn, now time.Time) bool {
-	if now.Sub(c.idle) > p.cfg.IdleTime {
+	if now.Sub(c.idleSince) > p.cfg.IdleTime {
 		return false
 	}
-	return c.expires.IsZero() || now.Before(c.expires.Add(-p.cfg.IdleMargin))
+	return c.expiresAt.IsZero() || now.Before(c.expiresAt.Add(-p.cfg.IdleMargin))
 }
 
-// take returns an idle connection that is still sound, or nil. The one used
-// last comes first, so that the others grow old and are closed.
-func (p *Pool) take(id string, now time.Time) *conn {
+// takeIdle returns an idle connection that is still usable, or nil. It prefers the most
+// recently used one, so that the others reach their idle limit and are closed.
+func (p *Pool) takeIdle(id string, now time.Time) *conn {
 	for {
-		c := p.pop(id)
+		c := p.popIdle(id)
 		if c == nil {
 			return nil
 		}
-		if p.usable(c, now) && c.quiet() {
+		if p.usable(c, now) && c.isOpenAndEmpty() {
 			return c
 		}
 		_ = c.Close()
 	}
 }
 
-func (p *Pool) pop(id string) *conn {
+func (p *Pool) popIdle(id string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conns := p.idle[id]
@@ -188,13 +190,13 @@
 	return last
 }
 
-// put keeps a connection whose exchange ended cleanly.
+// put returns a connection whose exchange ended cleanly to the pool.
 func (p *Pool) put(c *conn, now time.Time) {
-	c.idle, c.used = now, true
+	c.idleSince, c.used = now, true
 	p.mu.Lock()
-	full := len(p.idle[c.owner]) >= p.cfg.IdlePerServer
+	full := len(p.idle[c.serverID]) >= p.cfg.IdlePerServer
 	if !full {
-		p.idle[c.owner] = append(p.idle[c.owner], c)
+		p.idle[c.serverID] = append(p.idle[c.serverID], c)
 	}
 	p.mu.Unlock()
 	if full {
@@ -202,16 +204,16 @@
 	}
 }
 
-// get returns a connection to the target.
+// get returns an idle or new connection to the target.
 func (p *Pool) get(ctx context.Context, to Target) (*conn, error) {
-	if c := p.take(to.ID, time.Now()); c != nil {
+	if c := p.takeIdle(to.ID, time.Now()); c != nil {
 		return c, nil
 	}
 	return p.dial(ctx, to)
 }
 
-// Probe opens a connection to the target, to see whether it takes any, and keeps
-// it for the next request. Its errors are those of transport/probe.
+// Probe opens a connection to the target to check whether it accepts any, and keeps it for
+// the next request. Its errors are those of transport/probe.
 func (p *Pool) Probe(ctx context.Context, to Target) error {
 	c, err := probe.Open(ctx, func(ctx context.Context) (*conn, error) { return p.dial(ctx, to) })
 	if err != nil {
--- a/transport/backend/request.go
+++ b/transport/backend/request.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// Request is one request as the server gets it.
+// Request is one request as it is sent to the server.
 type Request struct {
 	Method string
 	// URI is the path and query, unchanged from the caller.
@@ -15,18 +15,17 @@
 	// Header holds the end-to-end headers.
 	Header http.Header
 	Body   []byte
-	// HasBody tells that the caller sent a body, if only an empty one.
+	// HasBody reports whether the caller sent a body, even an empty one.
 	HasBody bool
-	// Head takes the head of each answer that arrives, and reports whether it
-	// belongs to this request. A server may send an answer twice; the second one
-	// then arrives where the answer to the next request is expected.
+	// Head is called with the header of each response that arrives, and reports whether it
+	// belongs to this request. A server may send a response twice; the second one then
+	// arrives where the response to the next request is expected.
 	Head func(status int, h http.Header) (own bool)
-	// Begin is asked right before the first byte leaves, when a connection is
-	// there: an error means that the request is not to be sent any more. Nil: it
-	// may be sent.
+	// Begin is called once a connection is available, right before the first byte is sent.
+	// An error cancels the request. If Begin is nil, the request is always sent.
 	Begin func() error
-	// Abandoned is told when the exchange is given up after the first byte left, once, on
-	// any goroutine. Nil: nobody is told.
+	// Abandoned is called at most once, on any goroutine, when the exchange is abandoned
+	// after its first byte was sent. It may be nil.
 	Abandoned func(Abandoned)
 }
 
@@ -37,18 +36,18 @@
 	return r.Begin()
 }
 
-// inlineBody is the size up to which a request is written before its answer is
-// read; a longer one is written beside, as a server may answer before it has
-// read the whole body.
-const inlineBody = 2048
+// maxInlineRequest is the size in bytes up to which a request is written before its response
+// is read. A longer one is written on a goroutine of its own, as a server may respond before
+// it has read the whole body.
+const maxInlineRequest = 2048
 
-// writeSize is how much of a request is written at once, in bytes: what the kernel has of it
-// is known in these steps.
-const writeSize = 16 << 10
+// maxWrite bounds one write to the socket, in bytes. It is also the granularity of
+// Answer.bytesWritten.
+const maxWrite = 16 << 10
 
 // send writes the request.
 func (a *Answer) send(data []byte) {
-	if len(data) <= inlineBody {
+	if len(data) <= maxInlineRequest {
 		a.written <- a.write(data)
 		return
 	}
@@ -57,8 +56,8 @@
 
 func (a *Answer) write(data []byte) error {
 	for len(data) > 0 {
-		n, err := a.conn.Write(data[:min(len(data), writeSize)])
-		a.handed.Add(int64(n))
+		n, err := a.conn.Write(data[:min(len(data), maxWrite)])
+		a.bytesWritten.Add(int64(n))
 		if err != nil {
 			return err
 		}
@@ -67,12 +66,12 @@
 	return nil
 }
 
-// encode writes the request as HTTP/1.1.
+// encode returns the request in the HTTP/1.1 format.
 func encode(req Request) []byte {
 	var b bytes.Buffer
 	b.Grow(len(req.Body) + 512)
 	b.WriteString(req.Method + " " + req.URI + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
-	// The keys and values were parsed by net/http, which lets no line end pass.
+	// The keys and values were parsed by net/http, so they contain no line breaks.
 	_ = req.Header.Write(&b)
 	if req.HasBody || len(req.Body) > 0 {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(req.Body)) + "\r\n")
