--- a/transport/callerconn/callerconn_test.go
+++ b/transport/callerconn/callerconn_test.go
@@ -11,32 +11,33 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Idle connections are closed when the configuration says so, and refused
-// callers do not keep theirs when there are many.
-func TestIdleCallersAreClosedInTime(t *testing.T) {
+// Idle connections are closed after the configured limit, and the longest idle ones earlier
+// when there are too many.
+func TestIdleConnectionsAreSwept(t *testing.T) {
 	c := NewSet()
 	now := time.Now()
 	for i := range 4 {
 		near, far := net.Pipe()
 		defer far.Close()
 		c.Changed(near, http.StateIdle)
-		c.all[near].idle = now.Add(-time.Duration(i) * time.Second)
+		c.all[near].idleSince = now.Add(-time.Duration(i) * time.Second)
 	}
 	busy, other := net.Pipe()
 	defer other.Close()
 	c.Changed(busy, http.StateActive)
 	qt.Check(t, c.Sweep(now, 10*time.Second, 10), qt.Equals, 0)
 	qt.Check(t, c.Sweep(now, 2500*time.Millisecond, 10), qt.Equals, 1)
-	// The longest idle ones go when there are too many; busy ones stay.
+	// The longest idle ones are closed when there are too many; active ones stay open.
 	qt.Check(t, c.Sweep(now, 10*time.Second, 2), qt.Equals, 2)
 	qt.Check(t, c.Sweep(now, 10*time.Second, 0), qt.Equals, 1)
 	qt.Check(t, c.Open(), qt.Equals, 1)
 }
 
-// A connection whose last answer named no short life is not closed as if it had:
-// its caller uses it for longer, and would lose a request (LOST on plgc-port
-// scale-1 and lanna-glyph trouble-3, two of eight scores).
-func TestAShortLifeIsThatOfTheLastAnswer(t *testing.T) {
+// Guards against lost requests on a connection that is closed at the short idle limit although
+// its last response did not announce it: the caller goes by the last response and keeps using
+// the connection (requests were lost for this on plgc-port scale-1 and lanna-glyph trouble-3,
+// two of eight scores).
+func TestShortIdleLimitIsThatOfTheLastResponse(t *testing.T) {
 	c := NewSet()
 	conn, far := net.Pipe()
 	defer far.Close()
@@ -47,16 +48,16 @@
 	c.Told(conn, false)
 	c.Changed(conn, http.StateIdle)
 	now := time.Now()
-	qt.Check(t, c.Sweep(now.Add(shortLimit+time.Second), 15*time.Second, 10), qt.Equals, 0)
+	qt.Check(t, c.Sweep(now.Add(shortIdleLimit+time.Second), 15*time.Second, 10), qt.Equals, 0)
 	c.Changed(conn, http.StateActive)
 	c.Told(conn, true)
 	c.Changed(conn, http.StateIdle)
-	qt.Check(t, c.Sweep(now.Add(shortLimit+time.Second), 15*time.Second, 10), qt.Equals, 1)
+	qt.Check(t, c.Sweep(now.Add(shortIdleLimit+time.Second), 15*time.Second, 10), qt.Equals, 1)
 }
 
-// A connection that is closed as idle while a request on it is being read: the
-// request is not passed on, and its caller may send it again.
-func TestARequestOnASweptConnectionIsNotPassedOn(t *testing.T) {
+// A request that is being read while its connection is closed as idle is not forwarded, as its
+// caller may send it again.
+func TestSweptReportsARequestOnAClosedConnection(t *testing.T) {
 	c := NewSet()
 	conn, far := net.Pipe()
 	defer far.Close()
@@ -69,7 +70,7 @@
 	qt.Check(t, c.Open(), qt.Equals, 0)
 }
 
-// closingConn is a connection that tells when it is closed.
+// closingConn is a connection that calls closed when it is closed.
 type closingConn struct {
 	net.Conn
 	closed func()
@@ -80,12 +81,11 @@
 	return nil
 }
 
-// Pattern: thousands of idle connections are over their limit at once, such as
-// after a flood, on an instance that takes half a second to close them; callers
-// send on some of them meanwhile. Ground: seen on the users' grown site (68
-// requests that had been read got no answer); closing held a lock for which
-// these requests waited.
-func TestARequestThatComesDuringASweepIsServed(t *testing.T) {
+// Guards against requests that get no response because they arrive while the sweep closes
+// thousands of expired connections, as after a flood, which takes half a second on a small
+// instance. When the sweep held its lock meanwhile, these requests waited for it, and 68 that
+// had been read got no response on the users' grown site.
+func TestRequestDuringSweepIsServed(t *testing.T) {
 	c, now := NewSet(), time.Now()
 	var second *closingConn
 	lost := false
@@ -109,9 +109,9 @@
 	qt.Check(t, c.Swept(second), qt.IsFalse)
 }
 
-// A request that lies unread on a connection keeps it open: the router is late,
-// not the caller.
-func TestAConnectionWithAnUnreadRequestIsNotIdle(t *testing.T) {
+// A request that waits unread in the socket buffer keeps its connection open: the router is
+// late, not the caller.
+func TestConnectionWithUnreadRequestIsNotIdle(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	defer l.Close()
@@ -134,11 +134,11 @@
 	qt.Check(t, c.Sweep(time.Now().Add(time.Minute), time.Second, 0), qt.Equals, 1)
 }
 
-// testGate takes everything, or nothing.
+// testGate admits all connections, or none while closes is set.
 type testGate struct {
 	closes atomic.Bool
 	closed atomic.Int64
-	// decided counts the connections that gave their place before a decision back.
+	// decided counts the calls of the functions that Takes returned.
 	decided atomic.Int64
 }
 
@@ -154,10 +154,10 @@
 	return func() { g.decided.Add(1) }, true
 }
 
-// Pattern: one caller's flood brings a small router more connections than it can
-// read. Those that come new are closed before anything is read of them, at once,
-// and nothing of them runs; connections that it has are served.
-func TestALateRouterClosesNewConnectionsUnread(t *testing.T) {
+// Guards a small router against a flood of more connections than it can read: it closes new
+// connections at once without reading them, none of their requests runs, and established
+// connections are served.
+func TestOverloadedRouterClosesNewConnectionsUnread(t *testing.T) {
 	c := qt.New(t)
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -176,7 +176,7 @@
 	kept := &http.Client{Transport: &http.Transport{}}
 	c.Assert(ask(kept), qt.IsNil)
 	gate.closes.Store(true)
-	// More than there are places: a connection that is shed takes none.
+	// More than the listener has slots: a rejected connection takes none.
 	for range 5 {
 		began := time.Now()
 		c.Check(ask(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}), qt.IsNotNil)
@@ -187,7 +187,7 @@
 	c.Check(gate.closed.Load() >= 5, qt.IsTrue)
 	gate.closes.Store(false)
 	c.Check(ask(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}), qt.IsNil)
-	// Each connection gives the place before its decision back once.
+	// The gate is notified of each admitted connection once.
 	kept.CloseIdleConnections()
 	for range 100 {
 		if gate.decided.Load() == 2 {
--- a/transport/callerconn/context.go
+++ b/transport/callerconn/context.go
@@ -5,16 +5,17 @@
 	"net"
 )
 
-// key is the key of a request's connection in its context.
-type key struct{}
+// connKey is the context key of a request's connection.
+type connKey struct{}
 
-// WithConn is the server's hook that puts a connection into the context of its requests.
+// WithConn adds a connection to the context of its requests. It is meant as
+// http.Server.ConnContext.
 func WithConn(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, key{}, conn)
+	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// Of returns the connection of a request by its context, or nil.
+// Of returns the connection that WithConn added to the context of a request, or nil.
 func Of(ctx context.Context) net.Conn {
-	conn, _ := ctx.Value(key{}).(net.Conn)
+	conn, _ := ctx.Value(connKey{}).(net.Conn)
 	return conn
 }
--- a/transport/callerconn/held.go
+++ b/transport/callerconn/held.go
@@ -7,55 +7,56 @@
 	"goldcrestport/transport/revocable"
 )
 
-// ResetUnlessWhole returns a handler whose answers to callers on HTTP/1.0 end by a reset unless
-// it returns. Such a caller gets no chunks and knows the end of an answer without a length by that
-// of its connection: a cut, a panic or the end of the process must not look like it. The
-// connection is that of WithConn.
+// ResetUnlessWhole returns a handler that resets the connection of an HTTP/1.0 caller unless h
+// returns. Such a caller gets no chunked responses and takes the close of its connection for the
+// end of a response without a length: a truncated response, a panic or the end of the process
+// must not look like that. The connection is taken from WithConn.
 func ResetUnlessWhole(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.ProtoAtLeast(1, 1) {
 			h.ServeHTTP(w, req)
 			return
 		}
-		held := &heldWriter{ResponseWriter: w, conn: Of(req.Context())}
-		h.ServeHTTP(held, req)
-		held.settle()
+		rw := &resetWriter{ResponseWriter: w, conn: Of(req.Context())}
+		h.ServeHTTP(rw, req)
+		rw.settle()
 	})
 }
 
-// heldWriter holds the connection of an answer without a length from its head on.
-type heldWriter struct {
+// resetWriter makes the connection of a response without a length end with a reset, from the
+// response header on.
+type resetWriter struct {
 	http.ResponseWriter
-	conn   net.Conn
-	begun  bool
-	isHeld bool
+	conn          net.Conn
+	headerWritten bool
+	resetsOnClose bool
 }
 
-// Unwrap lets http.ResponseController reach the connection.
-func (w *heldWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap gives http.ResponseController access to the underlying writer.
+func (w *resetWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *heldWriter) WriteHeader(status int) {
-	if !w.begun && w.Header().Get("Content-Length") == "" {
+func (w *resetWriter) WriteHeader(status int) {
+	if !w.headerWritten && w.Header().Get("Content-Length") == "" {
 		revocable.Hold(w.conn)
-		w.isHeld = true
+		w.resetsOnClose = true
 	}
-	w.begun = true
+	w.headerWritten = true
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (w *heldWriter) Write(p []byte) (int, error) {
-	if !w.begun {
+func (w *resetWriter) Write(p []byte) (int, error) {
+	if !w.headerWritten {
 		w.WriteHeader(http.StatusOK)
 	}
 	return w.ResponseWriter.Write(p)
 }
 
-// settle lets the connection end in good order once the answer was written. That of an answer
-// that was cut is closed already.
-func (w *heldWriter) settle() {
-	if w.isHeld && http.NewResponseController(w.ResponseWriter).Flush() == nil {
+// settle lets the connection close normally once the response was written. The connection of a
+// response that was cut off is already closed.
+func (w *resetWriter) settle() {
+	if w.resetsOnClose && http.NewResponseController(w.ResponseWriter).Flush() == nil {
 		revocable.Settle(w.conn)
 	}
 }
--- a/transport/callerconn/listener.go
+++ b/transport/callerconn/listener.go
@@ -11,54 +11,54 @@
 	"golang.org/x/sys/unix"
 )
 
-// Gate decides which new connections are read.
+// Gate decides which new connections are admitted.
 type Gate interface {
-	// Wait returns when a connection may be accepted.
+	// Wait blocks until a connection may be accepted.
 	Wait()
-	// Chooses reports whether some may be closed unread.
+	// Chooses reports whether connections may currently be rejected.
 	Chooses() bool
-	// Takes reports whether a connection from the address is to be read, and returns what
-	// is to be called once when its first request is decided on or none comes. It is
-	// asked once for each connection.
+	// Takes reports whether a connection from the address is admitted. The caller must call
+	// decided once, when the first request was admitted or refused or did not arrive in
+	// time. Takes is called once for each connection.
 	Takes(from netip.Addr) (decided func(), taken bool)
 }
 
-// silentMost is the time after which a connection without a request takes no place before
-// a decision any more.
-const silentMost = 250 * time.Millisecond
+// firstRequestTimeout is the time after which a connection without a request no longer counts
+// as undecided at the gate.
+const firstRequestTimeout = 250 * time.Millisecond
 
-// Listener accepts no more connections than most; the others wait in
-// the kernel until one ends. Those that its gate does not take are closed unread.
+// Listener bounds the number of open connections; further ones wait in the kernel's accept
+// queue until one is closed. Connections that its gate does not admit are closed unread.
 type Listener struct {
 	*net.TCPListener
-	places chan struct{}
-	gate   Gate
+	slots chan struct{}
+	gate  Gate
 }
 
-// NewListener returns a listener that holds most connections at once.
-func NewListener(l *net.TCPListener, most int, gate Gate) *Listener {
-	return &Listener{TCPListener: l, places: make(chan struct{}, most), gate: gate}
+// NewListener returns a listener with at most maxConns open connections at a time.
+func NewListener(l *net.TCPListener, maxConns int, gate Gate) *Listener {
+	return &Listener{TCPListener: l, slots: make(chan struct{}, maxConns), gate: gate}
 }
 
 // Accept implements net.Listener.
 func (l *Listener) Accept() (net.Conn, error) {
-	l.places <- struct{}{}
+	l.slots <- struct{}{}
 	conn, err := l.next()
 	if err != nil {
-		<-l.places
+		<-l.slots
 		return nil, err
 	}
-	conn.places = l.places
-	conn.silent = time.AfterFunc(silentMost, conn.Decided)
+	conn.slots = l.slots
+	conn.firstRequestTimer = time.AfterFunc(firstRequestTimeout, conn.Decided)
 	return conn, nil
 }
 
-// next returns the next connection that is to be read.
-func (l *Listener) next() (*boundConn, error) {
+// next returns the next connection that the gate admits.
+func (l *Listener) next() (*limitedConn, error) {
 	for {
 		l.gate.Wait()
 		if l.gate.Chooses() {
-			conn, err := l.choose()
+			conn, err := l.acceptBatch()
 			if conn != nil || err != nil {
 				return conn, err
 			}
@@ -69,20 +69,20 @@
 			return nil, err
 		}
 		if decided, taken := l.gate.Takes(AddressOf(conn.RemoteAddr())); taken {
-			return &boundConn{TCPConn: conn, decided: decided}, nil
+			return &limitedConn{TCPConn: conn, decided: decided}, nil
 		}
 		closeUnread(conn)
 	}
 }
 
-// chooseMost bounds the connections that are closed in a row, after which the process's
-// other work has its turn.
-const chooseMost = 64
+// maxAcceptBatch bounds the connections that acceptBatch rejects in a row before it yields to
+// other goroutines.
+const maxAcceptBatch = 64
 
-// choose goes through the connections that wait, and returns the first that the gate
-// takes, or nil. It needs fewer system calls for each than AcceptTCP: a flooded router
-// has little else to do.
-func (l *Listener) choose() (*boundConn, error) {
+// acceptBatch accepts the waiting connections and returns the first that the gate admits, or
+// nil. It needs fewer system calls per connection than AcceptTCP, which matters during a
+// flood, when a router does little else.
+func (l *Listener) acceptBatch() (*limitedConn, error) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return nil, err
@@ -90,14 +90,14 @@
 	socket := -1
 	var decided func()
 	err = raw.Control(func(fd uintptr) {
-		for range chooseMost {
+		for range maxAcceptBatch {
 			one, from, err := unix.Accept4(int(fd), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 			if err != nil {
-				// None waits, or AcceptTCP meets and tells what is wrong.
+				// None is waiting, or AcceptTCP will return the error.
 				return
 			}
 			var taken bool
-			if decided, taken = l.gate.Takes(addressOf(from)); taken {
+			if decided, taken = l.gate.Takes(sockaddrIP(from)); taken {
 				socket = one
 				return
 			}
@@ -112,10 +112,10 @@
 		decided()
 		return nil, err
 	}
-	return &boundConn{TCPConn: conn, decided: decided}, nil
+	return &limitedConn{TCPConn: conn, decided: decided}, nil
 }
 
-// connOf returns the connection of a socket, which it owns from then on.
+// connOf returns a connection that owns the socket.
 func connOf(socket int) (*net.TCPConn, error) {
 	file := os.NewFile(uintptr(socket), "")
 	defer file.Close()
@@ -126,7 +126,7 @@
 	return conn.(*net.TCPConn), nil
 }
 
-// AddressOf returns the IP address of a TCP address, or none.
+// AddressOf returns the IP address of a TCP address, or the zero Addr.
 func AddressOf(a net.Addr) netip.Addr {
 	tcp, ok := a.(*net.TCPAddr)
 	if !ok {
@@ -135,7 +135,7 @@
 	return tcp.AddrPort().Addr().Unmap()
 }
 
-func addressOf(a unix.Sockaddr) netip.Addr {
+func sockaddrIP(a unix.Sockaddr) netip.Addr {
 	switch a := a.(type) {
 	case *unix.SockaddrInet4:
 		return netip.AddrFrom4(a.Addr)
@@ -146,47 +146,47 @@
 	}
 }
 
-// closeUnread resets the connection, so that its caller knows at once that
-// nothing of its request was read.
+// closeUnread resets the connection, so that its caller learns at once that its request was
+// not read.
 func closeUnread(tcp *net.TCPConn) {
-	// Without the reset the caller may wait for its request's acknowledgement.
+	// Without the reset the caller may wait for its request to be acknowledged.
 	_ = tcp.SetLinger(0)
 	_ = tcp.Close()
 }
 
-// resetSocket does the same to a socket.
+// resetSocket does the same as closeUnread for a raw socket.
 func resetSocket(socket int) {
 	_ = unix.SetsockoptLinger(socket, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	_ = unix.Close(socket)
 }
 
-// boundConn gives its places back: that before the decision when there is one, the other
-// when it is closed.
-type boundConn struct {
+// limitedConn releases its slot of the listener when it is closed, and notifies the gate at the
+// first decision, or at the timeout or the close if there is none before.
+type limitedConn struct {
 	*net.TCPConn
-	places  chan struct{}
-	decided func()
-	silent  *time.Timer
-	first   sync.Once
-	once    sync.Once
+	slots             chan struct{}
+	decided           func()
+	firstRequestTimer *time.Timer
+	decidedOnce       sync.Once
+	closeOnce         sync.Once
 }
 
-// Decided tells that the first request was decided on, or that none came.
-func (c *boundConn) Decided() { c.first.Do(c.decided) }
+// Decided notifies the gate that the first request was admitted or refused, or did not arrive.
+func (c *limitedConn) Decided() { c.decidedOnce.Do(c.decided) }
 
 // Close implements net.Conn.
-func (c *boundConn) Close() error {
-	c.once.Do(func() {
-		c.silent.Stop()
+func (c *limitedConn) Close() error {
+	c.closeOnce.Do(func() {
+		c.firstRequestTimer.Stop()
 		c.Decided()
-		<-c.places
+		<-c.slots
 	})
 	return c.TCPConn.Close()
 }
 
-// Decided tells the listener of the connection that its first request was decided on.
+// Decided notifies the gate of the connection that its first request was admitted or refused.
 func Decided(conn net.Conn) {
-	if c, ok := conn.(*boundConn); ok {
+	if c, ok := conn.(*limitedConn); ok {
 		c.Decided()
 	}
 }
--- a/transport/callerconn/peek.go
+++ b/transport/callerconn/peek.go
@@ -8,28 +8,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// HasEnded reports whether the connection's end, or its failure, lies unread.
+// HasEnded reports whether the peer has closed the connection or it has failed, with no data
+// left unread.
 func HasEnded(conn net.Conn) bool {
 	n, err := peek(conn)
-	return err == nil && n == 0 || err != nil && !errors.Is(err, errNothing)
+	return err == nil && n == 0 || err != nil && !errors.Is(err, errNoData)
 }
 
-// HasUnread reports whether bytes arrived on the connection that were not read.
+// HasUnread reports whether bytes wait unread in the socket buffer.
 func HasUnread(conn net.Conn) bool {
 	n, err := peek(conn)
 	return err == nil && n > 0
 }
 
-// errNothing means that nothing arrived, or that the connection cannot be
-// looked at.
-var errNothing = errors.New("nothing arrived")
+// errNoData means that no data arrived, or that the connection gives no access to its socket.
+var errNoData = errors.New("no data arrived")
 
-// peek looks for a byte on the connection without reading it: 0 bytes without
-// an error are its end.
+// peek looks for a byte on the connection without consuming it; 0 bytes without an error mean
+// that the peer closed it.
 func peek(conn net.Conn) (n int, err error) {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
-		return 0, errNothing
+		return 0, errNoData
 	}
 	control, err := raw.SyscallConn()
 	if err != nil {
@@ -44,7 +44,7 @@
 		return 0, err
 	}
 	if peekErr == unix.EAGAIN || peekErr == unix.EINTR {
-		return 0, errNothing
+		return 0, errNoData
 	}
 	return n, peekErr
 }
--- a/transport/callerconn/set.go
+++ b/transport/callerconn/set.go
@@ -1,7 +1,7 @@
-// Package callerconn follows the connections of a router's callers: it bounds their
-// number, closes idle ones, and tells whether something lies unread on one.
+// Package callerconn tracks the connections of a router's callers: it bounds their number,
+// closes idle ones, and reports whether data waits unread on one.
 //
-// Direct routers use it.
+// It is used by direct routers.
 package callerconn
 
 import (
@@ -12,42 +12,43 @@
 	"time"
 )
 
-// ShortIdle is the idle time that callers are told when there are many connections, and
-// shortLimit when such a connection is closed: a caller may use it up to the time it was
-// told.
+// ShortIdle is the idle timeout that is announced to callers when there are many connections.
+// Such a connection is closed only after shortIdleLimit, as its caller may use it up to the
+// announced time.
 const (
-	ShortIdle  = 2 * time.Second
-	shortLimit = 3 * time.Second
+	ShortIdle      = 2 * time.Second
+	shortIdleLimit = 3 * time.Second
 )
 
-// Set follows the callers' connections, so that idle ones end when the
-// configuration says so, and sooner when descriptors run out.
+// Set tracks the callers' connections, so that idle ones are closed after the configured time,
+// and earlier when file descriptors run short.
 type Set struct {
 	mu  sync.Mutex
 	all map[net.Conn]*caller
-	// closing counts those that the sweep closed and the server has not ended.
+	// closing counts the connections that Sweep closed and whose close the server has not
+	// reported yet.
 	closing int
 }
 
 // caller is one connection.
 type caller struct {
-	// idle is since when it has been without a request; zero while it has one.
-	idle time.Time
-	// short tells that the last answer named a short life. An answer that names
-	// none takes it back: the caller goes by the last one.
-	short bool
-	// closed tells that the sweep closed the connection.
-	closed bool
-	// requests counts those that came on it.
+	// idleSince is since when the connection has had no request; zero while it has one.
+	idleSince time.Time
+	// shortIdle reports whether the last response announced the short idle timeout. A
+	// response that does not announce it resets this, as the caller goes by the last one.
+	shortIdle bool
+	// swept reports whether Sweep closed the connection.
+	swept bool
+	// requests is the number of requests that arrived on the connection.
 	requests int
-	// accepted is when the connection was taken.
+	// accepted is when the connection was accepted.
 	accepted time.Time
 }
 
-// NewSet returns a set without connections.
+// NewSet returns an empty set.
 func NewSet() *Set { return &Set{all: make(map[net.Conn]*caller)} }
 
-// Changed is the server's hook for the state of a connection.
+// Changed records the state of a connection. It is meant as http.Server.ConnState.
 func (c *Set) Changed(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,28 +59,28 @@
 	}
 	switch state {
 	case http.StateActive:
-		one.idle = time.Time{}
+		one.idleSince = time.Time{}
 		one.requests++
 	case http.StateNew, http.StateIdle:
-		one.idle = time.Now()
+		one.idleSince = time.Now()
 	case http.StateClosed, http.StateHijacked:
 		delete(c.all, conn)
-		if one.closed {
+		if one.swept {
 			c.closing--
 		}
 	}
 }
 
-// Swept reports whether the sweep closed the connection while its request was
-// being read. Such a request is not passed on: its caller sends it again.
+// Swept reports whether Sweep closed the connection while its request was being read. Such a
+// request must not be forwarded: its caller sends it again.
 func (c *Set) Swept(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	one := c.all[conn]
-	return one != nil && one.closed
+	return one != nil && one.swept
 }
 
-// IsFirst reports whether the connection has its first request.
+// IsFirst reports whether the connection carries its first request.
 func (c *Set) IsFirst(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,8 +88,8 @@
 	return one != nil && one.requests <= 1
 }
 
-// SinceAccepted returns how long ago the connection was taken, if it has its first
-// request; else 0.
+// SinceAccepted returns how long ago the connection was accepted if it carries its first
+// request, and 0 otherwise.
 func (c *Set) SinceAccepted(conn net.Conn, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,47 +100,48 @@
 	return now.Sub(one.accepted)
 }
 
-// Told notes whether the answer that goes out names a short life.
+// Told records whether the response about to be sent announces the short idle timeout.
 func (c *Set) Told(conn net.Conn, short bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if one := c.all[conn]; one != nil {
-		one.short = short
+		one.shortIdle = short
 	}
 }
 
-// Open returns the number of connections.
+// Open returns the number of open connections.
 func (c *Set) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.all) - c.closing
 }
 
-// ShortLived returns the number of connections whose last answer named a short life.
+// ShortLived returns the number of connections whose last response announced the short idle
+// timeout.
 func (c *Set) ShortLived() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
 	for _, one := range c.all {
-		if one.short {
+		if one.shortIdle {
 			n++
 		}
 	}
 	return n
 }
 
-// idler is a connection that was without a request since a time.
-type idler struct {
+// idleConn is a connection that has had no request since the given time.
+type idleConn struct {
 	conn  net.Conn
 	since time.Time
 }
 
-// Sweep closes connections that were without a request for longer than their
-// limit, and the longest of those while there are more than most.
-func (c *Set) Sweep(now time.Time, limit time.Duration, most int) (closed int) {
-	idlers, excess := c.idlers(now, limit, most)
-	for i, one := range idlers {
-		if c.mayClose(one, now, limit, i < excess) {
+// Sweep closes connections that have been idle for longer than their limit, and the longest
+// idle ones while there are more than maxOpen connections. It returns the number closed.
+func (c *Set) Sweep(now time.Time, limit time.Duration, maxOpen int) (closed int) {
+	idle, excess := c.idleConns(now, limit, maxOpen)
+	for i, one := range idle {
+		if c.markSwept(one, now, limit, i < excess) {
 			_ = one.conn.Close()
 			closed++
 		}
@@ -147,51 +149,51 @@
 	return closed
 }
 
-// idlers returns the connections without a request that may be closed, the
-// longest first, and how many of them are beyond most.
-func (c *Set) idlers(now time.Time, limit time.Duration, most int) (out []idler, excess int) {
+// idleConns returns the idle connections that may be closed, the longest idle first, and by how
+// many the open connections exceed maxOpen.
+func (c *Set) idleConns(now time.Time, limit time.Duration, maxOpen int) (out []idleConn, excess int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	excess = max(len(c.all)-c.closing-most, 0)
+	excess = max(len(c.all)-c.closing-maxOpen, 0)
 	for conn, one := range c.all {
-		if one.idle.IsZero() || one.closed {
+		if one.idleSince.IsZero() || one.swept {
 			continue
 		}
-		if excess > 0 || one.over(now, limit) {
-			out = append(out, idler{conn, one.idle})
+		if excess > 0 || one.isExpired(now, limit) {
+			out = append(out, idleConn{conn, one.idleSince})
 		}
 	}
-	slices.SortFunc(out, func(a, b idler) int { return a.since.Compare(b.since) })
+	slices.SortFunc(out, func(a, b idleConn) int { return a.since.Compare(b.since) })
 	return out, excess
 }
 
-// mayClose reports whether the connection is still to be closed, and notes that
-// it is. The lock is not held while connections are closed: a small instance
-// takes half a second for thousands, and requests that were read meanwhile
-// waited for the lock to find their connections closed.
-func (c *Set) mayClose(one idler, now time.Time, limit time.Duration, beyond bool) bool {
+// markSwept reports whether the connection is still to be closed, and marks it as swept if so.
+// The lock is not held while connections are closed: a small instance takes half a second to
+// close thousands, and requests read meanwhile would wait for the lock, only to find their
+// connections closed.
+func (c *Set) markSwept(one idleConn, now time.Time, limit time.Duration, beyond bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.all[one.conn]
-	if known == nil || known.closed || !known.idle.Equal(one.since) {
+	if known == nil || known.swept || !known.idleSince.Equal(one.since) {
 		return false
 	}
-	if !beyond && !known.over(now, limit) {
+	if !beyond && !known.isExpired(now, limit) {
 		return false
 	}
 	if HasUnread(one.conn) {
-		// A request is there that this router has not read yet.
+		// A request has arrived that this router has not read yet.
 		return false
 	}
-	known.closed = true
+	known.swept = true
 	c.closing++
 	return true
 }
 
-// over reports whether the connection was idle for too long.
-func (c *caller) over(now time.Time, limit time.Duration) bool {
-	if c.short {
-		limit = min(limit, shortLimit)
+// isExpired reports whether the connection has been idle for too long.
+func (c *caller) isExpired(now time.Time, limit time.Duration) bool {
+	if c.shortIdle {
+		limit = min(limit, shortIdleLimit)
 	}
-	return now.Sub(c.idle) > limit
+	return now.Sub(c.idleSince) > limit
 }
--- a/transport/callerconn/unread.go
+++ b/transport/callerconn/unread.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// SinceData returns how long ago the last bytes arrived on the connection, by the
-// kernel's word; 0 when it says nothing. At the head of a request that is how long the
-// request lay unread.
+// SinceData returns how long ago the last bytes arrived on the connection according to the
+// kernel, or 0 if the kernel does not report it. When a request header has just been read, that
+// is how long the request waited unread in the socket buffer.
 func SinceData(conn net.Conn) time.Duration {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
--- a/transport/callergate/callergate.go
+++ b/transport/callergate/callergate.go
@@ -1,7 +1,8 @@
-// Package callergate decides at a router's listener which callers' connections are read,
-// by the team that the caller's address told before.
+// Package callergate decides at a router's listener which callers' connections are admitted, by
+// the team that was last seen at the caller's address. The decisions are those of
+// coordination/intake.
 //
-// Direct routers use it, over coordination/intake.
+// It is used by direct routers.
 package callergate
 
 import (
@@ -12,30 +13,31 @@
 	"goldcrestport/coordination/intake"
 )
 
-// Gate is safe for concurrent use.
+// Gate implements callerconn.Gate. It is safe for concurrent use.
 type Gate struct {
-	// teamOf tells the team of an address, or none.
+	// teamOf returns the team of an address, or "" if it is unknown.
 	teamOf func(netip.Addr) string
-	// isBeyond tells whether a team got more than its share.
-	isBeyond func(team string) bool
-	// closed is told of each connection that is closed unread.
-	closed func(team string)
+	// isOverShare reports whether a team received more than its share.
+	isOverShare func(team string) bool
+	// onClosed is called for each connection that is rejected and so closed unread.
+	onClosed func(team string)
 
 	mu sync.Mutex
-	// room tells that a place became free, or that the gate chooses.
+	// room is signalled when a place becomes free, and when the gate starts or stops limiting.
 	room   *sync.Cond
 	intake *intake.State
-	// beyond holds what isBeyond said last of the teams that come, judged is when.
-	beyond map[string]bool
-	judged time.Time
+	// overShare holds the last results of isOverShare for the teams that connect, and
+	// checkedAt is when they were obtained.
+	overShare map[string]bool
+	checkedAt time.Time
 }
 
-// judgeEvery is the time between two looks at the teams' shares.
-const judgeEvery = 100 * time.Millisecond
+// shareCheckInterval is the minimum time between two checks of the teams' shares.
+const shareCheckInterval = 100 * time.Millisecond
 
-// New returns a gate that takes everything. The config must be valid.
-func New(cfg intake.Config, teamOf func(netip.Addr) string, isBeyond func(team string) bool, closed func(team string)) *Gate {
-	g := &Gate{teamOf: teamOf, isBeyond: isBeyond, closed: closed, intake: intake.New(cfg), beyond: make(map[string]bool)}
+// New returns a gate that admits all connections. The config must be valid.
+func New(cfg intake.Config, teamOf func(netip.Addr) string, isOverShare func(team string) bool, onClosed func(team string)) *Gate {
+	g := &Gate{teamOf: teamOf, isOverShare: isOverShare, onClosed: onClosed, intake: intake.New(cfg), overShare: make(map[string]bool)}
 	g.room = sync.NewCond(&g.mu)
 	return g
 }
@@ -60,10 +62,10 @@
 func (g *Gate) Takes(from netip.Addr) (decided func(), taken bool) {
 	team := g.teamOf(from)
 	g.mu.Lock()
-	as, taken := g.intake.Admit(time.Now(), team, g.beyond[team])
+	as, taken := g.intake.Admit(time.Now(), team, g.overShare[team])
 	g.mu.Unlock()
 	if !taken {
-		g.closed(team)
+		g.onClosed(team)
 		return nil, false
 	}
 	return func() { g.decided(as) }, true
@@ -76,36 +78,37 @@
 	g.room.Signal()
 }
 
-// Observe takes how late input was read, several times a second, and whether the router
-// holds as many streams as it can. It reports whether the gate began to choose, or ceased.
+// Observe records by how much the reading of input lags and whether the router has reached its
+// limit of streams. It is to be called several times a second. It reports whether the gate
+// started or stopped limiting.
 func (g *Gate) Observe(now time.Time, late time.Duration, full bool) (changed bool) {
 	g.mu.Lock()
 	before := g.intake.Limiting()
 	g.intake.Observe(now, late, full)
-	dealing := g.intake.Limiting()
+	limiting := g.intake.Limiting()
 	var teams []string
-	if dealing && now.Sub(g.judged) >= judgeEvery {
-		g.judged, teams = now, g.intake.Teams()
+	if limiting && now.Sub(g.checkedAt) >= shareCheckInterval {
+		g.checkedAt, teams = now, g.intake.Teams()
 	}
 	g.mu.Unlock()
 	if teams != nil {
-		g.judge(teams)
+		g.checkShares(teams)
 	}
-	if before != dealing {
+	if before != limiting {
 		g.room.Broadcast()
 	}
-	return before != dealing
+	return before != limiting
 }
 
-// judge asks which teams are beyond their share.
-func (g *Gate) judge(teams []string) {
-	beyond := make(map[string]bool)
+// checkShares updates which teams are over their share.
+func (g *Gate) checkShares(teams []string) {
+	overShare := make(map[string]bool)
 	for _, team := range teams {
-		if team != "" && g.isBeyond(team) {
-			beyond[team] = true
+		if team != "" && g.isOverShare(team) {
+			overShare[team] = true
 		}
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.beyond = beyond
+	g.overShare = overShare
 }
--- a/transport/callergate/callergate_test.go
+++ b/transport/callergate/callergate_test.go
@@ -11,20 +11,20 @@
 )
 
 var (
-	beyondFrom = netip.MustParseAddr("10.0.0.1")
-	withinFrom = netip.MustParseAddr("10.0.0.2")
+	overShareAddr   = netip.MustParseAddr("10.0.0.1")
+	withinShareAddr = netip.MustParseAddr("10.0.0.2")
 )
 
-// pressed returns a gate that chooses and has three quarters of its places free, and the
-// teams whose connections it closed.
-func pressed(t *testing.T) (*Gate, *[]string) {
+// limitingGate returns a gate that limits, with three quarters of its places free, and the teams
+// whose connections it rejected.
+func limitingGate(t *testing.T) (*Gate, *[]string) {
 	cfg := intake.DefaultConfig()
 	cfg.MaxWindow, cfg.MinWindow, cfg.MaxUndecided = 8, 8, 8
 	var closed []string
-	teams := map[netip.Addr]string{beyondFrom: "beyond", withinFrom: "within"}
+	teams := map[netip.Addr]string{overShareAddr: "beyond", withinShareAddr: "within"}
 	g := New(cfg, func(from netip.Addr) string { return teams[from] }, func(team string) bool { return team == "beyond" }, func(team string) { closed = append(closed, team) })
 	now := time.Unix(1000, 0)
-	_, taken := g.Takes(beyondFrom)
+	_, taken := g.Takes(overShareAddr)
 	qt.Assert(t, taken, qt.IsTrue)
 	for range 10 {
 		now = now.Add(cfg.Interval)
@@ -34,14 +34,14 @@
 	return g, &closed
 }
 
-// Guards against a team beyond its share taking the places of one that is not: whose a
-// connection is follows from its address.
-func TestPlacesGoByTheTeamOfTheAddress(t *testing.T) {
-	g, closed := pressed(t)
+// Guards against a team over its share taking the places of one that is not: the team of a
+// connection is derived from its address.
+func TestAdmissionIsByTheTeamOfTheAddress(t *testing.T) {
+	g, closed := limitingGate(t)
 	for range 10 {
-		g.Takes(beyondFrom)
+		g.Takes(overShareAddr)
 	}
-	_, taken := g.Takes(withinFrom)
+	_, taken := g.Takes(withinShareAddr)
 	qt.Check(t, taken, qt.IsTrue)
 	qt.Check(t, len(*closed) > 0, qt.IsTrue)
 	for _, team := range *closed {
@@ -49,12 +49,12 @@
 	}
 }
 
-// A listener that waits for room goes on when a place is given back.
-func TestWaitEndsWithRoom(t *testing.T) {
+// Wait blocks while all places are taken and returns once one is released.
+func TestWaitReturnsWhenAPlaceIsReleased(t *testing.T) {
 	g := New(intake.DefaultConfig(), func(netip.Addr) string { return "" }, func(string) bool { return false }, func(string) {})
 	var decided func()
 	for range intake.DefaultConfig().MaxUndecided {
-		decided, _ = g.Takes(withinFrom)
+		decided, _ = g.Takes(withinShareAddr)
 	}
 	done := make(chan struct{})
 	go func() {
@@ -63,13 +63,13 @@
 	}()
 	select {
 	case <-done:
-		t.Fatal("there was room")
+		t.Fatal("Wait returned though all places are taken")
 	case <-time.After(20 * time.Millisecond):
 	}
 	decided()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("no room though a place was given back")
+		t.Fatal("Wait is still blocked though a place was released")
 	}
 }
--- a/transport/duty/duty.go
+++ b/transport/duty/duty.go
@@ -1,8 +1,7 @@
-// Package duty holds what the goroutines that drive the decisions have in
-// common.
+// Package duty contains helpers for the goroutines that drive the decision logic: message
+// delivery and graceful shutdown.
 //
-// The drivers of transport/router, transport/sidecar, transport/spread and
-// transport/claims call it.
+// It is used by transport/router, transport/sidecar, transport/spread and transport/claims.
 package duty
 
 import (
@@ -12,8 +11,8 @@
 	"goldcrestport/coordination/leave"
 )
 
-// Post puts a message into a duty's ring, waiting while it is full or until
-// ctx ends.
+// Post sends a message to the ring of a goroutine. It blocks while the ring is full, until ctx
+// ends.
 func Post[M any](ctx context.Context, ring chan<- M, m M) {
 	select {
 	case ring <- m:
@@ -21,27 +20,28 @@
 	}
 }
 
-// leaveEvery is the period in which a leaving process looks at what it holds.
-const leaveEvery = 10 * time.Millisecond
+// shutdownPollInterval is the period in which a process that is shutting down checks its
+// requests in flight.
+const shutdownPollInterval = 10 * time.Millisecond
 
-// Leave goes through the phases of a graceful shutdown and calls enter at the
-// begin of each. held returns the number of requests that have not ended; abort
-// is closed by a second request to stop. It returns when the process may end.
-func Leave(cfg leave.Config, held func() int64, abort <-chan struct{}, enter func(leave.Phase)) {
-	core := leave.New(cfg)
-	ticker := time.NewTicker(leaveEvery)
+// Leave goes through the phases of a graceful shutdown and calls enter at the start of each.
+// inFlight returns the number of requests in flight; abort is closed when a second stop signal
+// arrives. Leave returns when the process may exit.
+func Leave(cfg leave.Config, inFlight func() int64, abort <-chan struct{}, enter func(leave.Phase)) {
+	state := leave.New(cfg)
+	ticker := time.NewTicker(shutdownPollInterval)
 	defer ticker.Stop()
-	phase := core.Step(time.Now(), leave.Asked{})
+	phase := state.Step(time.Now(), leave.Asked{})
 	enter(phase)
 	for phase != leave.Stopped {
 		var ev leave.Event
 		select {
 		case <-ticker.C:
-			ev = leave.Ticked{Held: int(held())}
+			ev = leave.Ticked{Held: int(inFlight())}
 		case <-abort:
 			abort, ev = nil, leave.AskedAgain{}
 		}
-		if next := core.Step(time.Now(), ev); next != phase {
+		if next := state.Step(time.Now(), ev); next != phase {
 			phase = next
 			enter(phase)
 		}
--- a/transport/duty/duty_test.go
+++ b/transport/duty/duty_test.go
@@ -12,7 +12,7 @@
 	"goldcrestport/transport/duty"
 )
 
-func TestPostWaitsForRoomOrTheEnd(t *testing.T) {
+func TestPostReturnsWhenContextEnds(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	ring := make(chan int, 1)
@@ -23,12 +23,12 @@
 	c.Assert(ring, qt.HasLen, 0)
 }
 
-// phasesOf returns the phases that a process with one held request entered,
-// and how long it took.
+// phasesOf returns the phases that a process with one request in flight entered, and how long
+// that took.
 func phasesOf(abort <-chan struct{}) (phases []leave.Phase, took time.Duration) {
 	began := time.Now()
-	held := func() int64 { return 1 }
-	duty.Leave(leave.DefaultConfig(), held, abort, func(p leave.Phase) { phases = append(phases, p) })
+	inFlight := func() int64 { return 1 }
+	duty.Leave(leave.DefaultConfig(), inFlight, abort, func(p leave.Phase) { phases = append(phases, p) })
 	return phases, time.Since(began)
 }
 
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestSecondRequestEndsTheWaiting(t *testing.T) {
+func TestSecondStopSignalEndsTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		abort := make(chan struct{})
--- a/transport/framing/framing.go
+++ b/transport/framing/framing.go
@@ -1,7 +1,7 @@
-// Package framing tells of answers over HTTP/1.1 how they say where their body ends, and how
-// their reading ended.
+// Package framing determines how an HTTP/1.1 response delimits its body and how the reading of
+// the body ended, as input to coordination/completeness.
 //
-// transport/backend and transport/sidecar call it, for coordination/completeness.
+// It is used by transport/backend and transport/sidecar.
 package framing
 
 import (
@@ -14,8 +14,8 @@
 	"goldcrestport/coordination/completeness"
 )
 
-// Of returns how the answer, as net/http read it, tells where its body ends. The body must
-// be the one that net/http made.
+// Of returns how the end of the response's body is delimited. The response and its body must be
+// those that net/http returned.
 func Of(resp *http.Response) completeness.Framing {
 	switch {
 	case resp.Body == http.NoBody && resp.ContentLength <= 0:
@@ -29,8 +29,8 @@
 	}
 }
 
-// End returns how the reading of a body in the framing ended, by the error of its last read:
-// nil when it was not read to its end.
+// End returns how the reading of a body with the given framing ended. err is the error of the
+// last read, or nil if the body was not read to its end.
 func End(f completeness.Framing, err error) completeness.End {
 	var network net.Error
 	switch {
--- a/transport/lateness/lateness.go
+++ b/transport/lateness/lateness.go
@@ -1,8 +1,8 @@
-// Package lateness measures how late a process reads its input: the time of sending goes
-// through a pipe, and its way takes as long as that of any input. Timers do not tell: the
-// runtime looks at them before it looks at connections.
+// Package lateness measures by how much a process lags in reading its input. It writes
+// timestamps into a pipe, which are read as late as any other input. Timers cannot measure this,
+// as the runtime serves them before it polls connections.
 //
-// Direct routers use it.
+// It is used by direct routers.
 package lateness
 
 import (
@@ -19,64 +19,65 @@
 // Every is the time between two measurements.
 const Every = 25 * time.Millisecond
 
-// Watch tells take of each measurement until ctx ends, one at a time, and of one that has not
-// ended how late it is so far.
-func Watch(ctx context.Context, take func(now time.Time, late time.Duration)) error {
+// Watch calls take with each measurement until ctx ends, one call at a time. For a measurement
+// that is not complete it reports the lateness so far.
+func Watch(ctx context.Context, report func(now time.Time, late time.Duration)) error {
 	out, in, err := os.Pipe()
 	if err != nil {
 		return errors.Wrap(err, "pipe")
 	}
 	defer out.Close()
-	watch(ctx, out, in, take)
+	watch(ctx, out, in, report)
 	return nil
 }
 
-// watcher measures with the two ends of a pipe. What lies unread is told as late as it is
-// so far, at each further sending.
+// watcher measures with the two ends of a pipe. At each send, it reports the lateness so far of
+// the oldest timestamp that is still unread.
 type watcher struct {
-	out   io.Reader
-	in    io.WriteCloser
-	take  func(now time.Time, late time.Duration)
-	begin time.Time
+	out    io.Reader
+	in     io.WriteCloser
+	report func(now time.Time, late time.Duration)
+	start  time.Time
 
-	// taking is held while take is called.
-	taking sync.Mutex
+	// reporting is held while report is called.
+	reporting sync.Mutex
 
 	mu sync.Mutex
-	// unread are the times since begin that were sent and not read, in order.
+	// unread holds the timestamps, as times since start, that were sent and not read, in
+	// order.
 	unread []time.Duration
 }
 
 // watch measures until ctx ends.
-func watch(ctx context.Context, out io.Reader, in io.WriteCloser, take func(now time.Time, late time.Duration)) {
-	w := &watcher{out: out, in: in, take: take, begin: time.Now()}
+func watch(ctx context.Context, out io.Reader, in io.WriteCloser, report func(now time.Time, late time.Duration)) {
+	w := &watcher{out: out, in: in, report: report, start: time.Now()}
 	go w.send(ctx)
 	var b [8]byte
 	for {
 		if _, err := out.Read(b[:]); err != nil {
-			// The sending end is closed with ctx.
+			// The sending end is closed when ctx ends.
 			return
 		}
-		w.read(time.Duration(binary.LittleEndian.Uint64(b[:])))
+		w.complete(time.Duration(binary.LittleEndian.Uint64(b[:])))
 	}
 }
 
-// read tells of a measurement that has ended.
-func (w *watcher) read(sent time.Duration) {
+// read reports a completed measurement.
+func (w *watcher) complete(sent time.Duration) {
 	w.mu.Lock()
 	if len(w.unread) > 0 {
 		w.unread = w.unread[1:]
 	}
 	w.mu.Unlock()
-	w.taking.Lock()
-	defer w.taking.Unlock()
+	w.reporting.Lock()
+	defer w.reporting.Unlock()
 	now := time.Now()
-	w.take(now, now.Sub(w.begin)-sent)
+	w.report(now, now.Sub(w.start)-sent)
 }
 
-// overdue tells of the oldest measurement that should have ended, unless another one is being
-// told.
-func (w *watcher) overdue() {
+// reportOverdue reports the lateness so far of the oldest incomplete measurement, unless another
+// report is in progress.
+func (w *watcher) reportOverdue() {
 	w.mu.Lock()
 	unread := len(w.unread)
 	var oldest time.Duration
@@ -84,15 +85,15 @@
 		oldest = w.unread[0]
 	}
 	w.mu.Unlock()
-	if unread == 0 || !w.taking.TryLock() {
+	if unread == 0 || !w.reporting.TryLock() {
 		return
 	}
-	defer w.taking.Unlock()
+	defer w.reporting.Unlock()
 	now := time.Now()
-	w.take(now, now.Sub(w.begin)-oldest)
+	w.report(now, now.Sub(w.start)-oldest)
 }
 
-// send writes the time since begin into the pipe, again and again.
+// send periodically writes the time since start into the pipe.
 func (w *watcher) send(ctx context.Context) {
 	defer w.in.Close()
 	ticker := time.NewTicker(Every)
@@ -104,8 +105,8 @@
 			return
 		case <-ticker.C:
 		}
-		w.overdue()
-		now := time.Since(w.begin)
+		w.reportOverdue()
+		now := time.Since(w.start)
 		w.mu.Lock()
 		w.unread = append(w.unread, now)
 		w.mu.Unlock()
--- a/transport/link/link.go
+++ b/transport/link/link.go
@@ -1,9 +1,8 @@
 // Package link opens and serves the drpc connections between the processes of
 // goldcrestport.
 //
-// Routers dial sidecars and other routers; sidecars dial sidecars of their
-// pool. Connections are pooled, since drpc runs one stream per connection at
-// a time.
+// Routers dial sidecars and other routers; sidecars dial the other sidecars of their pool.
+// Connections are pooled, since drpc runs one stream per connection at a time.
 package link
 
 import (
@@ -35,7 +34,8 @@
 	dial  func(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// NewPool returns a pool that keeps at most capacity idle connections.
+// NewPool returns a pool that keeps at most capacity idle connections, perPeer of them to one
+// address, each for at most the given idle time.
 func NewPool(capacity, perPeer int, idle time.Duration) *Pool {
 	d := &net.Dialer{Timeout: dialTimeout}
 	return &Pool{
@@ -50,7 +50,7 @@
 	}
 }
 
-// Dial opens a connection of its own, outside the pool.
+// Dial opens a new connection that does not belong to the pool.
 func (p *Pool) Dial(ctx context.Context, addr string) (drpc.Conn, error) {
 	raw, err := p.dial(ctx, addr)
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// Get returns a pooled connection to the address. It dials on first use.
+// Get returns a pooled connection to the address, which dials on first use.
 func (p *Pool) Get(ctx context.Context, addr string) drpc.Conn {
 	return p.conns.Get(ctx, addr, func(ctx context.Context, addr string) (drpcpool.Conn, error) {
 		raw, err := p.dial(ctx, addr)
@@ -90,7 +90,7 @@
 	return wire.NewDRPCRouterClient(p.Get(ctx, addr))
 }
 
-// Claims returns a client of the claims at the router of the address.
+// Claims returns a client of the claims service of the router at the address.
 func (p *Pool) Claims(ctx context.Context, addr string) wire.DRPCClaimsClient {
 	return wire.NewDRPCClaimsClient(p.Get(ctx, addr))
 }
@@ -98,7 +98,7 @@
 // Close closes the idle connections.
 func (p *Pool) Close() error { return p.conns.Close() }
 
-// ServeSidecar serves the sidecar's protocol until ctx ends.
+// ServeSidecar serves the sidecar protocol until ctx ends.
 func ServeSidecar(ctx context.Context, lis net.Listener, srv wire.DRPCSidecarServer) error {
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterSidecar(mux, srv); err != nil {
@@ -107,13 +107,13 @@
 	return serve(ctx, lis, mux)
 }
 
-// RouterServer is all that a router serves to its peers.
+// RouterServer is the set of services that a router offers to its peers.
 type RouterServer interface {
 	wire.DRPCRouterServer
 	wire.DRPCRouterStatusServer
 }
 
-// ServeRouter serves the routers' protocol and claims until ctx ends.
+// ServeRouter serves the router protocol and the claims service until ctx ends.
 func ServeRouter(ctx context.Context, lis net.Listener, srv RouterServer, claims wire.DRPCClaimsServer) error {
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterRouter(mux, srv); err != nil {
--- a/transport/link/records.go
+++ b/transport/link/records.go
@@ -12,8 +12,8 @@
 	"goldcrestport/transport/revocable"
 )
 
-// Records encodes the messages of calls whose form is a Go record, as JSON.
-// They are few; the frequent ones are in protocol/wire and protocol/digest.
+// Records is the drpc encoding of calls whose messages are plain Go structs, as JSON. Such calls
+// are rare; the encodings of frequent messages are in protocol/wire and protocol/digest.
 type Records struct{}
 
 // Marshal implements drpc.Encoding.
@@ -22,7 +22,7 @@
 // Unmarshal implements drpc.Encoding.
 func (Records) Unmarshal(data []byte, m drpc.Message) error { return json.Unmarshal(data, m) }
 
-// Call makes one call of a record to the address, on a connection of its own.
+// Call makes one JSON-encoded call to the address, on a connection of its own.
 func Call(ctx context.Context, addr, rpc string, in, out any) error {
 	var d net.Dialer
 	raw, err := revocable.Dial(ctx, &d, addr)
@@ -34,7 +34,7 @@
 	return conn.Invoke(ctx, rpc, Records{}, in, out)
 }
 
-// ServeRecords serves calls of records until ctx ends.
+// ServeRecords serves JSON-encoded calls until ctx ends.
 func ServeRecords(ctx context.Context, lis net.Listener, h drpc.Handler) error {
 	return drpcserver.NewWithOptions(h, drpcserver.Options{Manager: drpcmanager.Options{Reader: managerOptions().Reader}}).Serve(ctx, lis)
 }
--- a/transport/probe/probe.go
+++ b/transport/probe/probe.go
@@ -1,8 +1,8 @@
-// Package probe opens a connection to a server in order to see whether its process lives. One
-// that crashes may end some connections a moment before it takes no more, and the kernel may
-// take some that nobody will accept.
+// Package probe opens a connection to a server to check whether its process is alive. A crashing
+// process may close some connections shortly before it stops listening, and the kernel may
+// complete connections that the process never accepts.
 //
-// transport/backend and transport/sidecar call it.
+// It is used by transport/backend and transport/sidecar.
 package probe
 
 import (
@@ -17,25 +17,25 @@
 	"goldcrestport/coordination/completeness"
 )
 
-// Time is how long a connection must last to show that the server lives.
+// Time is how long a connection must stay open to show that the server is alive.
 const Time = 20 * time.Millisecond
 
-// connections bounds those of one probe.
-const connections = 2
+// maxAttempts bounds the connections that one probe opens.
+const maxAttempts = 2
 
-// ErrNotKept means that the server takes connections and ends them at once.
-var ErrNotKept = errors.New("the server ends its connections at once")
+// ErrNotKept means that the server accepts connections and closes them at once.
+var ErrNotKept = errors.New("server closes its connections at once")
 
-// Open returns a connection that lasted. One that the server ends at once tells nothing:
-// another is opened. Other errors are those of dial.
+// Open returns a connection that stayed open. One that the server closes at once proves nothing,
+// so that another is opened, up to maxAttempts. Errors other than ErrNotKept are those of dial.
 func Open[C net.Conn](ctx context.Context, dial func(context.Context) (C, error)) (C, error) {
 	var none C
-	for range connections {
+	for range maxAttempts {
 		conn, err := dial(ctx)
 		if err != nil {
 			return none, err
 		}
-		if lasts(conn) {
+		if staysOpen(conn) {
 			return conn, nil
 		}
 		_ = conn.Close()
@@ -43,8 +43,9 @@
 	return none, ErrNotKept
 }
 
-// lasts reports whether the connection is open and silent for the time.
-func lasts(conn net.Conn) bool {
+// staysOpen reports whether the connection stays open without receiving data for the time that
+// a probe lasts.
+func staysOpen(conn net.Conn) bool {
 	if conn.SetReadDeadline(time.Now().Add(Time)) != nil {
 		return false
 	}
@@ -53,7 +54,7 @@
 	return errors.Is(err, os.ErrDeadlineExceeded) && conn.SetReadDeadline(time.Time{}) == nil
 }
 
-// Sign returns what the outcome of a probe shows of the server.
+// Sign returns what the outcome of a probe shows about the server.
 func Sign(err error) completeness.Sign {
 	switch {
 	case err == nil:
--- a/transport/probe/probe_test.go
+++ b/transport/probe/probe_test.go
@@ -12,7 +12,8 @@
 	"goldcrestport/coordination/completeness"
 )
 
-// server listens and handles each connection; it returns how to reach it and its listener.
+// server starts a listener, whose connections go to handle unless that is nil, and returns a
+// function that dials it.
 func server(c *qt.C, handle func(net.Conn)) (func(context.Context) (net.Conn, error), net.Listener) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -34,8 +35,8 @@
 	}, lis
 }
 
-// A server that keeps what it takes lives, and the connection is as good as any.
-func TestAServerThatKeepsAConnectionTakesThem(t *testing.T) {
+// A server that keeps the connection open is alive, and the connection can be used afterwards.
+func TestServerThatKeepsTheConnectionIsAlive(t *testing.T) {
 	c := qt.New(t)
 	dial, _ := server(c, func(conn net.Conn) { _, _ = io.Copy(conn, conn) })
 	conn, err := Open(context.Background(), dial)
@@ -49,9 +50,9 @@
 	c.Check(err, qt.IsNil)
 }
 
-// Guards against a server that is taken for alive while its process ends: the kernel took a
-// connection that nobody accepts any more.
-func TestAServerThatEndsAMomentLaterRefuses(t *testing.T) {
+// Guards against a server that is taken for alive while its process exits: the kernel completed
+// a connection that the process never accepts.
+func TestServerThatExitsAfterTheDialRefuses(t *testing.T) {
 	c := qt.New(t)
 	dial, lis := server(c, nil)
 	_, err := Open(context.Background(), func(ctx context.Context) (net.Conn, error) {
@@ -62,9 +63,9 @@
 	c.Check(Sign(err), qt.Equals, completeness.Refuses, qt.Commentf("%v", err))
 }
 
-// A server that ends all that it takes, as one without a free place may, shows neither that it
-// lives nor that it is gone.
-func TestAServerThatKeepsNothingShowsNothing(t *testing.T) {
+// A server that closes every connection, as one at its connection limit may, is shown to be
+// neither alive nor gone.
+func TestServerThatClosesAllConnectionsIsInconclusive(t *testing.T) {
 	c := qt.New(t)
 	dial, lis := server(c, nil)
 	_, err := Open(context.Background(), func(ctx context.Context) (net.Conn, error) {
--- a/transport/revocable/revocable.go
+++ b/transport/revocable/revocable.go
@@ -1,9 +1,9 @@
-// Package revocable lets the end of a connection be a reset, unless it was settled before:
-// what was sent on it and has not arrived when it ends, or when the process does, never does,
-// and its other end does not take the end for that of what it reads. Who gives up a call by
-// closing its connection so takes it back as far as that can be done.
+// Package revocable makes connections end with a TCP reset unless Settle was called. When such a
+// connection is closed or the process ends, bytes not yet delivered are discarded, and the peer
+// does not mistake the close for a regular end of the data. A caller that abandons a call by
+// closing its connection thereby revokes it as far as that is possible.
 //
-// platform, transport/backend, transport/callerconn and transport/link call it.
+// It is used by platform, transport/backend, transport/callerconn and transport/link.
 package revocable
 
 import (
@@ -11,15 +11,15 @@
 	"net"
 )
 
-// Values of a connection's linger time, in seconds.
+// Values of a connection's linger time (SO_LINGER), in seconds.
 const (
-	// noLinger lets the end of a connection be a reset.
-	noLinger = 0
-	// kernelsLinger lets what was written go on its way.
-	kernelsLinger = -1
+	// resetOnClose makes the close of a connection discard unsent data and send a reset.
+	resetOnClose = 0
+	// sendInBackground lets the kernel deliver written data after the close.
+	sendInBackground = -1
 )
 
-// Dial opens a TCP connection by the dialer, whose end is a reset.
+// Dial opens a TCP connection with the dialer and applies Hold to it.
 func Dial(ctx context.Context, d *net.Dialer, address string) (net.Conn, error) {
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -29,15 +29,15 @@
 	return conn, nil
 }
 
-// Hold lets the end of the connection be a reset.
-func Hold(conn net.Conn) { setLinger(conn, noLinger) }
+// Hold makes the connection end with a reset, until Settle is called.
+func Hold(conn net.Conn) { setLinger(conn, resetOnClose) }
 
-// Settle lets what was written go on its way when the connection ends: nothing is to be taken
-// back any more.
-func Settle(conn net.Conn) { setLinger(conn, kernelsLinger) }
+// Settle lets the kernel deliver written data after the connection is closed. It is called once
+// nothing is to be revoked any more.
+func Settle(conn net.Conn) { setLinger(conn, sendInBackground) }
 
-// setLinger sets what becomes of bytes that are on their way when the connection ends. One
-// that the kernel has ended already takes no setting, and needs none.
+// setLinger sets what happens to undelivered bytes when the connection is closed. Its error is
+// ignored: a connection that the kernel has already closed does not need the setting.
 func setLinger(conn net.Conn, seconds int) {
 	if tcp, ok := conn.(interface{ SetLinger(int) error }); ok {
 		_ = tcp.SetLinger(seconds)
--- a/transport/revocable/revocable_test.go
+++ b/transport/revocable/revocable_test.go
@@ -11,8 +11,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The end of a connection is a reset at its other end, unless nothing is to be taken back.
-func TestTheEndIsAReset(t *testing.T) {
+// The peer sees a reset when the connection is closed, unless Settle was called.
+func TestCloseSendsAResetUnlessSettled(t *testing.T) {
 	for _, settled := range []bool{false, true} {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		qt.Assert(t, err, qt.IsNil)
--- a/transport/teamlog/teamlog_test.go
+++ b/transport/teamlog/teamlog_test.go
@@ -12,7 +12,7 @@
 	"goldcrestport/transport/observe"
 )
 
-// recorded returns a recorder and the lines that it writes.
+// recorded returns a recorder and the log lines that it writes.
 func recorded() (*Recorder, *[]string) {
 	var lines []string
 	r := New("dc", observe.NewVars(), func(name string, keyvals ...any) {
@@ -22,8 +22,8 @@
 	return r, &lines
 }
 
-// A team whose connections were closed unread is named, once an earlier request told
-// whose callers they are.
+// Connections that were closed unread are counted for their team once an earlier request has
+// shown the team of the caller's address.
 func TestUnreadConnectionsAreCountedForTheirTeam(t *testing.T) {
 	r, lines := recorded()
 	from := netip.MustParseAddr("10.0.0.7")
@@ -38,14 +38,14 @@
 	qt.Check(t, r.totals.unread.Get("").String(), qt.Equals, "1")
 }
 
-// Lines are bounded: teams that asked for least are left out, and counted.
+// The number of lines is bounded: the teams that requested least are left out, and counted.
 func TestLinesAreBounded(t *testing.T) {
 	r, lines := recorded()
-	for i := range 2 * linesEach {
+	for i := range 2 * maxLines {
 		r.Count(func(t *teamuse.Table) { t.Asked(fmt.Sprint("t", i), float64(i)) })
 	}
 	r.write(time.Second)
-	qt.Check(t, *lines, qt.HasLen, linesEach)
-	qt.Check(t, (*lines)[0], qt.Contains, fmt.Sprint("left_out", linesEach))
+	qt.Check(t, *lines, qt.HasLen, maxLines)
+	qt.Check(t, (*lines)[0], qt.Contains, fmt.Sprint("left_out", maxLines))
 	qt.Check(t, r.totals.asked.Get("t3").String(), qt.Equals, "3")
 }
