--- a/transport/backend/abandoned.go
+++ b/transport/backend/abandoned.go
@@ -8,15 +8,15 @@
 )
 
 // Way is how the connection of an abandoned exchange ended.
-type Way string
+type ConnEnd string
 
 // Ways in which the connection of an abandoned exchange ends.
 const (
 	// Reset means that this process reset the connection, so that bytes still unacknowledged
 	// are never delivered.
-	Reset Way = "reset"
+	ConnReset ConnEnd = "reset"
 	// Ended means that the peer or the kernel had closed the connection before.
-	Ended Way = "ended"
+	ConnAlreadyClosed ConnEnd = "ended"
 )
 
 // Abandoned describes an exchange that was abandoned after the first byte of its request was
@@ -29,7 +29,7 @@
 	// Unacked is the number of bytes that the peer had not acknowledged, or -1 if unknown.
 	Unacked int
 	// How is how the connection ended.
-	How Way
+	How ConnEnd
 	// Err is the error of the exchange; nil if its context ended or the caller closed the
 	// response early.
 	Err error
--- a/transport/backend/answer.go
+++ b/transport/backend/answer.go
@@ -134,7 +134,7 @@
 		_ = a.conn.Close()
 		return
 	}
-	a.abandon(Reset, a.readErr)
+	a.abandon(ConnReset, a.readErr)
 }
 
 // fullyWritten reports whether the whole request was written.
@@ -142,7 +142,7 @@
 
 // abandon ends an unfinished exchange, at most once: its connection is reset, so that bytes
 // that the server has not received yet are never delivered.
-func (a *Answer) abandon(how Way, err error) {
+func (a *Answer) abandon(how ConnEnd, err error) {
 	a.pool.exchanges.remove(a)
 	unacked := a.conn.unacked()
 	if !a.conn.reset() || a.onAbandoned == nil {
--- a/transport/backend/exchange.go
+++ b/transport/backend/exchange.go
@@ -29,7 +29,7 @@
 }
 
 // ErrStrange means that the server sent something other than the response to the request.
-var ErrStrange = errors.New("unexpected data instead of a response to the request")
+var ErrUnexpectedData = errors.New("unexpected data instead of a response to the request")
 
 // ErrWithdrawn marks the errors of requests that Request.Begin cancelled once a connection
 // was available.
@@ -60,13 +60,13 @@
 	}
 	data := encode(req)
 	a := &Answer{pool: p, conn: c, written: make(chan error, 1), startedAt: time.Now(), onAbandoned: req.Abandoned, size: len(data)}
-	a.stop = context.AfterFunc(ctx, func() { a.abandon(Reset, nil) })
+	a.stop = context.AfterFunc(ctx, func() { a.abandon(ConnReset, nil) })
 	p.exchanges.add(a)
 	a.send(data)
 	if err := a.readHead(req); err != nil {
 		a.stop()
 		err = a.cause(err)
-		a.abandon(Ended, err)
+		a.abandon(ConnAlreadyClosed, err)
 		return nil, &Failure{Stage: MaybeRun, Err: err}
 	}
 	return a, nil
@@ -88,7 +88,7 @@
 			return err
 		}
 	}
-	return errors.Wrap(ErrStrange, "too many responses to other requests")
+	return errors.Wrap(ErrUnexpectedData, "too many responses to other requests")
 }
 
 // readResponse reads the header of one final response; interim (1xx) responses are skipped.
@@ -99,7 +99,7 @@
 			return nil, err
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.Wrap(ErrStrange, "server switched protocols")
+			return nil, errors.Wrap(ErrUnexpectedData, "server switched protocols")
 		}
 		if resp.StatusCode >= http.StatusOK {
 			return resp, nil
@@ -110,14 +110,14 @@
 // discardResponse reads the response to another request to its end.
 func discardResponse(resp *http.Response) error {
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		return errors.Wrap(ErrStrange, "response to another request has no length")
+		return errors.Wrap(ErrUnexpectedData, "response to another request has no length")
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayBytes))
 	if err != nil {
 		return err
 	}
 	if n == maxStrayBytes {
-		return errors.Wrap(ErrStrange, "response to another request is too long")
+		return errors.Wrap(ErrUnexpectedData, "response to another request is too long")
 	}
 	return nil
 }
--- a/transport/backend/exchanges.go
+++ b/transport/backend/exchanges.go
@@ -166,7 +166,7 @@
 // revoke abandons the exchange so that no further byte of it is delivered.
 func (a *Answer) revoke(reason error) {
 	a.revokeReason.Store(&reason)
-	a.abandon(Reset, reason)
+	a.abandon(ConnReset, reason)
 }
 
 // cause returns the reason for which the exchange was revoked, or else the error met.
--- a/transport/callerconn/callerconn_test.go
+++ b/transport/callerconn/callerconn_test.go
@@ -146,7 +146,7 @@
 
 func (g *testGate) Wait() {}
 
-func (g *testGate) Takes(netip.Addr) (func(), bool) {
+func (g *testGate) Admit(netip.Addr) (func(), bool) {
 	if g.closes.Load() {
 		g.closed.Add(1)
 		return nil, false
--- a/transport/callerconn/listener.go
+++ b/transport/callerconn/listener.go
@@ -20,7 +20,7 @@
 	// Takes reports whether a connection from the address is admitted. The caller must call
 	// decided once, when the first request was admitted or refused or did not arrive in
 	// time. Takes is called once for each connection.
-	Takes(from netip.Addr) (decided func(), taken bool)
+	Admit(from netip.Addr) (decided func(), taken bool)
 }
 
 // firstRequestTimeout is the time after which a connection without a request no longer counts
@@ -68,7 +68,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if decided, taken := l.gate.Takes(AddressOf(conn.RemoteAddr())); taken {
+		if decided, taken := l.gate.Admit(AddressOf(conn.RemoteAddr())); taken {
 			return &limitedConn{TCPConn: conn, decided: decided}, nil
 		}
 		closeUnread(conn)
@@ -97,7 +97,7 @@
 				return
 			}
 			var taken bool
-			if decided, taken = l.gate.Takes(sockaddrIP(from)); taken {
+			if decided, taken = l.gate.Admit(sockaddrIP(from)); taken {
 				socket = one
 				return
 			}
--- a/transport/callergate/callergate.go
+++ b/transport/callergate/callergate.go
@@ -59,7 +59,7 @@
 }
 
 // Takes implements callerconn.Gate.
-func (g *Gate) Takes(from netip.Addr) (decided func(), taken bool) {
+func (g *Gate) Admit(from netip.Addr) (decided func(), taken bool) {
 	team := g.teamOf(from)
 	g.mu.Lock()
 	as, taken := g.intake.Admit(time.Now(), team, g.overShare[team])
--- a/transport/callergate/callergate_test.go
+++ b/transport/callergate/callergate_test.go
@@ -24,7 +24,7 @@
 	teams := map[netip.Addr]string{overShareAddr: "beyond", withinShareAddr: "within"}
 	g := New(cfg, func(from netip.Addr) string { return teams[from] }, func(team string) bool { return team == "beyond" }, func(team string) { closed = append(closed, team) })
 	now := time.Unix(1000, 0)
-	_, taken := g.Takes(overShareAddr)
+	_, taken := g.Admit(overShareAddr)
 	qt.Assert(t, taken, qt.IsTrue)
 	for range 10 {
 		now = now.Add(cfg.Interval)
@@ -39,9 +39,9 @@
 func TestAdmissionIsByTheTeamOfTheAddress(t *testing.T) {
 	g, closed := limitingGate(t)
 	for range 10 {
-		g.Takes(overShareAddr)
+		g.Admit(overShareAddr)
 	}
-	_, taken := g.Takes(withinShareAddr)
+	_, taken := g.Admit(withinShareAddr)
 	qt.Check(t, taken, qt.IsTrue)
 	qt.Check(t, len(*closed) > 0, qt.IsTrue)
 	for _, team := range *closed {
@@ -54,7 +54,7 @@
 	g := New(intake.DefaultConfig(), func(netip.Addr) string { return "" }, func(string) bool { return false }, func(string) {})
 	var decided func()
 	for range intake.DefaultConfig().MaxUndecided {
-		decided, _ = g.Takes(withinShareAddr)
+		decided, _ = g.Admit(withinShareAddr)
 	}
 	done := make(chan struct{})
 	go func() {
--- a/transport/lateness/lateness.go
+++ b/transport/lateness/lateness.go
@@ -17,7 +17,7 @@
 )
 
 // Every is the time between two measurements.
-const Every = 25 * time.Millisecond
+const Interval = 25 * time.Millisecond
 
 // Watch calls take with each measurement until ctx ends, one call at a time. For a measurement
 // that is not complete it reports the lateness so far.
@@ -96,7 +96,7 @@
 // send periodically writes the time since start into the pipe.
 func (w *watcher) send(ctx context.Context) {
 	defer w.in.Close()
-	ticker := time.NewTicker(Every)
+	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
 	var b [8]byte
 	for {
--- a/transport/lateness/lateness_test.go
+++ b/transport/lateness/lateness_test.go
@@ -29,7 +29,7 @@
 		}
 	})
 	qt.Check(t, err, qt.IsNil)
-	qt.Check(t, latest > delay-3*Every, qt.IsTrue, qt.Commentf("%v", latest))
+	qt.Check(t, latest > delay-3*Interval, qt.IsTrue, qt.Commentf("%v", latest))
 }
 
 // delayedReader delays one of its reads, so that input waits unread.
--- a/transport/probe/probe.go
+++ b/transport/probe/probe.go
@@ -18,13 +18,13 @@
 )
 
 // Time is how long a connection must stay open to show that the server is alive.
-const Time = 20 * time.Millisecond
+const MinOpenTime = 20 * time.Millisecond
 
 // maxAttempts bounds the connections that one probe opens.
 const maxAttempts = 2
 
 // ErrNotKept means that the server accepts connections and closes them at once.
-var ErrNotKept = errors.New("server closes its connections at once")
+var ErrClosedAtOnce = errors.New("server closes its connections at once")
 
 // Open returns a connection that stayed open. One that the server closes at once proves nothing,
 // so that another is opened, up to maxAttempts. Errors other than ErrNotKept are those of dial.
@@ -40,13 +40,13 @@
 		}
 		_ = conn.Close()
 	}
-	return none, ErrNotKept
+	return none, ErrClosedAtOnce
 }
 
 // staysOpen reports whether the connection stays open without receiving data for the time that
 // a probe lasts.
 func staysOpen(conn net.Conn) bool {
-	if conn.SetReadDeadline(time.Now().Add(Time)) != nil {
+	if conn.SetReadDeadline(time.Now().Add(MinOpenTime)) != nil {
 		return false
 	}
 	var b [1]byte
--- a/transport/probe/probe_test.go
+++ b/transport/probe/probe_test.go
@@ -43,7 +43,7 @@
 	c.Assert(err, qt.IsNil)
 	defer conn.Close()
 	c.Check(Sign(err), qt.Equals, completeness.Takes)
-	time.Sleep(2 * Time)
+	time.Sleep(2 * MinOpenTime)
 	_, err = conn.Write([]byte{1})
 	c.Assert(err, qt.IsNil)
 	_, err = io.ReadFull(conn, make([]byte, 1))
@@ -75,6 +75,6 @@
 		c.Assert(err, qt.IsNil)
 		return conn, far.Close()
 	})
-	c.Check(err, qt.Equals, ErrNotKept)
+	c.Check(err, qt.Equals, ErrClosedAtOnce)
 	c.Check(Sign(err), qt.Equals, completeness.Silent)
 }
