--- a/transport/backend/abandoned.go
+++ b/transport/backend/abandoned.go
@@ -7,15 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Way is how the connection of an abandoned exchange ended.
+// ConnEnd is how the connection of an abandoned exchange ended.
 type ConnEnd string
 
 // Ways in which the connection of an abandoned exchange ends.
 const (
-	// Reset means that this process reset the connection, so that bytes still unacknowledged
+	// ConnReset means that this process reset the connection, so that bytes still unacknowledged
 	// are never delivered.
 	ConnReset ConnEnd = "reset"
-	// Ended means that the peer or the kernel had closed the connection before.
+	// ConnAlreadyClosed means that the peer or the kernel had closed the connection before.
 	ConnAlreadyClosed ConnEnd = "ended"
 )
 
--- a/transport/backend/exchange.go
+++ b/transport/backend/exchange.go
@@ -17,8 +17,8 @@
 const (
 	// NotSent means that no byte of the request was sent: it has not run.
 	NotSent Stage = iota
-	// MaybeRun means that some of the request was sent and no response header was received:
-	// the server may have run it.
+	// MaybeRun means that some or all of the request may have been sent and no valid response
+	// header was received: the server may have run it.
 	MaybeRun
 )
 
@@ -28,7 +28,7 @@
 	Err   error
 }
 
-// ErrStrange means that the server sent something other than the response to the request.
+// ErrUnexpectedData means that the server sent something other than the response to the request.
 var ErrUnexpectedData = errors.New("unexpected data instead of a response to the request")
 
 // ErrWithdrawn marks the errors of requests that Request.Begin cancelled once a connection
--- a/transport/backend/pool.go
+++ b/transport/backend/pool.go
@@ -144,8 +144,8 @@
 // take less time than that.
 const peerRetention = time.Minute
 
-// forgetPeers drops the state of servers that left longer than peerRetention ago. The caller
-// must hold mu.
+// forgetPeers drops the state of servers that have been draining or gone for longer than
+// peerRetention. The caller must hold mu.
 func (p *Pool) forgetPeers() {
 	for id, one := range p.peers {
 		if left := one.drainingSince.Load(); left != 0 && sinceEpoch()-left > int64(peerRetention) {
--- a/transport/callerconn/callerconn_test.go
+++ b/transport/callerconn/callerconn_test.go
@@ -84,7 +84,7 @@
 // Guards against requests that get no response because they arrive while the sweep closes
 // thousands of expired connections, as after a flood, which takes half a second on a small
 // instance. When the sweep held its lock meanwhile, these requests waited for it, and 68 that
-// had been read got no response on the users' grown site.
+// had been read got no response in the users' enlarged deployment.
 func TestRequestDuringSweepIsServed(t *testing.T) {
 	c, now := NewSet(), time.Now()
 	var second *closingConn
@@ -138,7 +138,7 @@
 type testGate struct {
 	closes atomic.Bool
 	closed atomic.Int64
-	// decided counts the calls of the functions that Takes returned.
+	// decided counts the calls of the functions that Admit returned.
 	decided atomic.Int64
 }
 
--- a/transport/callerconn/listener.go
+++ b/transport/callerconn/listener.go
@@ -17,9 +17,9 @@
 	Wait()
 	// Chooses reports whether connections may currently be rejected.
 	Chooses() bool
-	// Takes reports whether a connection from the address is admitted. The caller must call
+	// Admit reports whether a connection from the address is admitted. The caller must call
 	// decided once, when the first request was admitted or refused or did not arrive in
-	// time. Takes is called once for each connection.
+	// time. Admit is called once for each connection.
 	Admit(from netip.Addr) (decided func(), taken bool)
 }
 
--- a/transport/callerconn/peek.go
+++ b/transport/callerconn/peek.go
@@ -8,8 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// HasEnded reports whether the peer has closed the connection or it has failed, with no data
-// left unread.
+// HasEnded reports whether the next read would return the end of the connection or its failure.
 func HasEnded(conn net.Conn) bool {
 	n, err := peek(conn)
 	return err == nil && n == 0 || err != nil && !errors.Is(err, errNoData)
--- a/transport/callergate/callergate.go
+++ b/transport/callergate/callergate.go
@@ -58,7 +58,7 @@
 	return g.intake.Limiting()
 }
 
-// Takes implements callerconn.Gate.
+// Admit implements callerconn.Gate.
 func (g *Gate) Admit(from netip.Addr) (decided func(), taken bool) {
 	team := g.teamOf(from)
 	g.mu.Lock()
--- a/transport/lateness/lateness.go
+++ b/transport/lateness/lateness.go
@@ -16,7 +16,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Every is the time between two measurements.
+// Interval is the time between two measurements.
 const Interval = 25 * time.Millisecond
 
 // Watch calls take with each measurement until ctx ends, one call at a time. For a measurement
--- a/transport/probe/probe.go
+++ b/transport/probe/probe.go
@@ -17,17 +17,17 @@
 	"goldcrestport/coordination/completeness"
 )
 
-// Time is how long a connection must stay open to show that the server is alive.
+// MinOpenTime is how long a connection must stay open to show that the server is alive.
 const MinOpenTime = 20 * time.Millisecond
 
 // maxAttempts bounds the connections that one probe opens.
 const maxAttempts = 2
 
-// ErrNotKept means that the server accepts connections and closes them at once.
+// ErrClosedAtOnce means that the server accepts connections and closes them at once.
 var ErrClosedAtOnce = errors.New("server closes its connections at once")
 
 // Open returns a connection that stayed open. One that the server closes at once proves nothing,
-// so that another is opened, up to maxAttempts. Errors other than ErrNotKept are those of dial.
+// so that another is opened, up to maxAttempts. Errors other than ErrClosedAtOnce are those of dial.
 func Open[C net.Conn](ctx context.Context, dial func(context.Context) (C, error)) (C, error) {
 	var none C
 	for range maxAttempts {
