--- a/transport/claims/acquire.go
+++ b/transport/claims/acquire.go
@@ -11,42 +11,48 @@
 	"goldcrestport/state/claims"
 )
 
-// Decision says what becomes of a request.
+// Decision is the result of claiming a request's key: run the request, replay
+// a recorded result, or refuse it.
 type Decision struct {
-	// Run tells that the request may be dispatched once. Finish or Release
-	// must follow.
+	// Run reports whether the request may be dispatched, once. The caller must
+	// then call Finish or Release.
 	Run bool
-	// Replay is the recorded result of the key, if there is one.
+	// Replay is the result recorded for the key, or nil.
 	Replay *claims.Result
-	// Refusal is the outcome if the request neither runs nor is replayed.
+	// Refusal is the outcome returned to the caller if Run is false and Replay
+	// is nil.
 	Refusal outcome.Outcome
 }
 
-// retryAfter is the hint to a caller whose key cannot be claimed now.
+// retryAfter is the retry delay suggested to a caller whose key cannot be
+// claimed now.
 const retryAfter = time.Second
 
-// maxRounds bounds how often one request asks for its claim: after a claim
-// that was given up, after a stale answer, and once more for each.
+// maxRounds bounds the number of acquire calls of one request. A request calls
+// again after it takes over a claim whose attempt was not run, and after an
+// answer that may be stale; the bound leaves room for repetitions.
 const maxRounds = 4
 
-// Acquire claims the key of a request. A request that is not to run is never
-// dispatched, whatever happens to its claim later.
+// Acquire claims the key of a request. If the Decision does not allow the
+// request to run, this process never dispatches it, even if its claim is
+// written later.
 func (g *Guard) Acquire(ctx context.Context, r Request) Decision {
-	defer g.metrics.waited(time.Now())
+	defer g.metrics.observeWait(time.Now())
 	if !g.begin(r.ID) {
-		return g.refused("too many non-idempotent requests are held")
+		return g.refused("too many non-idempotent requests are in flight")
 	}
 	ctx, cancel := context.WithTimeout(ctx, g.cfg.Wait)
 	defer cancel()
 	d := g.acquire(ctx, r)
 	if !d.Run {
-		// From here on this process says that the attempt was not run.
+		// From here on this process reports the attempt as not run.
 		g.forget(r.ID)
 	}
 	return d
 }
 
-// acquire asks until the answer is certain.
+// acquire repeats the call until the answer is conclusive, at most maxRounds
+// times.
 func (g *Guard) acquire(ctx context.Context, r Request) Decision {
 	c := g.call(claim.Acquire, r)
 	for range maxRounds {
@@ -63,15 +69,16 @@
 			}
 			c.Fresh = true
 		case claim.Held:
-			d, again := g.heldBy(ctx, a.Record, &c)
+			d, again := g.resolveHeld(ctx, a.Record, &c)
 			if !again {
 				return d
 			}
 		case claim.Full:
-			return g.refused("the store of keys is full")
+			return g.refused("the key store is full")
 		default:
-			// The claim may be written yet. The attempt is forgotten before
-			// its release is asked for.
+			// The claim may still be written. The attempt is forgotten first,
+			// so that this process reports it as not run before it requests
+			// the release.
 			g.forget(r.ID)
 			g.release(r)
 			return g.refused("the key could not be claimed in time")
@@ -80,9 +87,10 @@
 	return g.duplicate()
 }
 
-// heldBy asks the executor of a claim what became of its attempt. It returns
-// true if the claim is worth another try, with the call changed for it.
-func (g *Guard) heldBy(ctx context.Context, held claims.Record, c *claim.Call) (Decision, bool) {
+// resolveHeld queries the executor of an existing claim for the fate of its attempt.
+// It returns true if the call should be repeated; c is then updated for the
+// repetition.
+func (g *Guard) resolveHeld(ctx context.Context, held claims.Record, c *claim.Call) (Decision, bool) {
 	fate, result := g.fate(ctx, held.Executor, held.Attempt)
 	switch fate {
 	case claims.FateNotRun:
@@ -104,10 +112,11 @@
 	return g.duplicate(), false
 }
 
-// fate asks the executor of an attempt; 0 means that it does not answer.
+// fate queries the executor of an attempt; it returns 0 if the executor does
+// not answer.
 func (g *Guard) fate(ctx context.Context, e claims.Executor, attempt string) (claims.Fate, *claims.Result) {
 	if e.Incarnation == g.executor.Incarnation {
-		return g.ownFate(attempt)
+		return g.localFate(attempt)
 	}
 	if e.Address == g.executor.Address {
 		return claims.FateGone, nil
@@ -124,7 +133,7 @@
 	return claims.Fate(m.Fate), resultFromWire(m.Result)
 }
 
-func (g *Guard) ownFate(attempt string) (claims.Fate, *claims.Result) {
+func (g *Guard) localFate(attempt string) (claims.Fate, *claims.Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.attempts.Fate(attempt)
@@ -138,17 +147,18 @@
 func (g *Guard) refused(detail string) Decision {
 	g.metrics.refused.Add(1)
 	return Decision{Refusal: outcome.Refuse(outcome.ReasonPlatform, http.StatusServiceUnavailable, retryAfter,
-		detail+"; this request was not run, an earlier one with the key may have been: come back with the same key")}
+		detail+"; this request was not run, but an earlier request with the same key may have been: retry with the same key")}
 }
 
 func (g *Guard) reused() Decision {
 	g.metrics.reused.Add(1)
 	return Decision{Refusal: outcome.Refuse(outcome.ReasonKeyReused, http.StatusUnprocessableEntity, 0,
-		"the key belongs to a request with another method, path or body; this one was not run")}
+		"the key was already used for a request with a different method, path or body; this request was not run")}
 }
 
-// duplicate answers a repeat while the first request may be running. It is
-// not called not-run: what the caller asks for may be under way.
+// duplicate returns the decision for a repeated request while the first one may
+// be running. Its outcome is Unknown rather than NotRun, because the work that
+// the caller asked for may be in progress.
 func (g *Guard) duplicate() Decision {
 	g.metrics.duplicate.Add(1)
 	return Decision{Refusal: outcome.Outcome{
@@ -156,7 +166,7 @@
 		Reason:     outcome.ReasonDuplicate,
 		Status:     http.StatusConflict,
 		RetryAfter: retryAfter,
-		Detail:     "a request with this key is running; come back with the same key for its result",
+		Detail:     "a request with this key may be running; retry with the same key to get its result",
 	}}
 }
 
@@ -166,6 +176,6 @@
 		Kind:   outcome.Unknown,
 		Reason: outcome.ReasonExecutorLost,
 		Status: http.StatusConflict,
-		Detail: "a request with this key may have run; the process that held it is gone",
+		Detail: "a request with this key may have run; the process that executed it no longer exists",
 	}}
 }
--- a/transport/claims/config.go
+++ b/transport/claims/config.go
@@ -1,10 +1,10 @@
-// Package claims runs non-idempotent requests that carry a caller's key at
-// most once: it claims the key on the platform's key-value service before the
-// run, and records the result after it.
+// Package claims makes a non-idempotent request that carries an idempotency key
+// run at most once: it claims the key in the platform's key-value service before
+// the run, and records the result after it.
 //
 // transport/router calls the Guard for each such request and serves the
-// Claims protocol to other routers. coordination/claim decides what is
-// written; this package performs it.
+// Claims protocol to other routers. coordination/claim decides what to write;
+// this package performs the calls.
 package claims
 
 import (
@@ -18,11 +18,11 @@
 	"goldcrestport/state/claims"
 )
 
-// Config holds the bounds of a Guard.
+// Config holds the time and size limits of a Guard.
 type Config struct {
-	// Core holds the bounds of the decisions.
+	// Core holds the limits of the decision logic.
 	Core claim.Config
-	// Wait bounds the time from a request to its claim, in nanoseconds.
+	// Wait bounds the time that a request waits for its claim, in nanoseconds.
 	// Default 500ms.
 	Wait time.Duration
 	// PeerWait bounds one call to another router, in nanoseconds. Default
@@ -31,22 +31,23 @@
 	// CallTimeout bounds one call to the platform, in nanoseconds. Default
 	// 400ms.
 	CallTimeout time.Duration
-	// FinishWait bounds one try to record a result, in nanoseconds. Default
-	// 5s.
+	// FinishWait bounds one attempt to record a result or to release a key, in
+	// nanoseconds. Default 5s.
 	FinishWait time.Duration
-	// ReleaseWait bounds how long a caller waits for its key to be given up,
+	// ReleaseWait bounds how long a caller waits for its key to be released,
 	// in nanoseconds. Default 500ms.
 	ReleaseWait time.Duration
-	// SuspectFor is how long a router that did not answer is passed over, in
+	// SuspectFor is how long a router that did not answer is skipped, in
 	// nanoseconds. Default 2s.
 	SuspectFor time.Duration
-	// MaxAttempts bounds the attempts and unwritten results held. Default
-	// 4096.
+	// MaxAttempts bounds the attempts in flight and the results not yet
+	// recorded. Default 4096.
 	MaxAttempts int
-	// MaxReleases bounds the releases under way behind callers' backs; a
-	// claim that is not released is recognised later. Default 256.
+	// MaxReleases bounds the concurrent background releases. Beyond it a claim
+	// is not released; it is recognised as not run when its key is next
+	// claimed. Default 256.
 	MaxReleases int
-	// MaxAnswer bounds an answer kept with its key, in bytes. Default 4096.
+	// MaxAnswer bounds the response body stored with its key, in bytes. Default 4096.
 	MaxAnswer int
 }
 
@@ -66,7 +67,7 @@
 	}
 }
 
-// Validate returns an error that names each field out of range.
+// Validate returns an error that names each field that is out of range.
 func (c Config) Validate() error {
 	err := c.Core.Validate()
 	check := func(ok bool, text string) {
@@ -82,26 +83,27 @@
 	check(c.SuspectFor >= 0, "SuspectFor must not be negative")
 	check(c.MaxAttempts > 0, "MaxAttempts must be positive")
 	check(c.MaxReleases > 0, "MaxReleases must be positive")
-	check(c.MaxAnswer >= 0 && c.MaxAnswer*maxAnswerParts <= c.Core.MaxBytes,
-		"MaxAnswer must not exceed a 16th of MaxBytes")
+	check(c.MaxAnswer >= 0 && c.MaxAnswer*minAnswersPerShard <= c.Core.MaxBytes,
+		"MaxAnswer must not be negative or exceed 1/16 of MaxBytes")
 	return err
 }
 
-// maxAnswerParts keeps one answer from filling a shard.
-const maxAnswerParts = 16
+// minAnswersPerShard is the smallest allowed ratio of Core.MaxBytes to MaxAnswer. It
+// keeps a single response from filling a shard.
+const minAnswersPerShard = 16
 
 // Peer is another router.
 type Peer struct {
 	ID string
-	// Address for other routers, IP:port.
+	// Address at which other routers reach this one, IP:port.
 	Address string
 }
 
-// Peers opens the claims of other routers. transport/link implements it.
+// Peers gives access to the Claims protocol of other routers. transport/link
+// implements it.
 type Peers interface {
-	// Claims returns a client of the claims at the router of the address.
+	// Claims returns a Claims client for the router at the address.
 	Claims(ctx context.Context, addr string) wire.DRPCClaimsClient
 }
 
-// shards is the number of shards, for short.
 const shards = claims.Shards
--- a/transport/claims/convert.go
+++ b/transport/claims/convert.go
@@ -8,8 +8,8 @@
 	"goldcrestport/state/claims"
 )
 
-// toWire returns the call's message. The numbers of kinds, verdicts and fates
-// are the same in the core and on the wire; a test checks it.
+// toWire encodes a call. Kinds, verdicts and fates have the same numeric values
+// in the core and on the wire; TestNumbersAgree checks this.
 func toWire(c claim.Call, wait time.Duration) *wire.ClaimCall {
 	m := &wire.ClaimCall{
 		Kind:     wire.ClaimKind(c.Kind),
--- a/transport/claims/convert_test.go
+++ b/transport/claims/convert_test.go
@@ -11,7 +11,8 @@
 	"goldcrestport/state/claims"
 )
 
-// TestNumbersAgree checks that the core's numbers are those of the wire.
+// TestNumbersAgree checks that kinds, verdicts and fates have the same numeric
+// values in the core and on the wire, since they are converted by a cast.
 func TestNumbersAgree(t *testing.T) {
 	c := quicktest.New(t)
 	for core, w := range map[claim.Kind]wire.ClaimKind{
--- a/transport/claims/fake_test.go
+++ b/transport/claims/fake_test.go
@@ -13,8 +13,8 @@
 	"goldcrestport/transport/platform"
 )
 
-// fakeStore is a key-value service whose calls may be lost before or after
-// they take effect, or take effect late.
+// fakeStore is an in-memory key-value service with fault injection: a call may
+// fail before or after it takes effect, or take effect late.
 type fakeStore struct {
 	platform.Store
 
@@ -22,7 +22,7 @@
 	rng     *rand.Rand
 	entries map[string]platform.Entry
 	down    bool
-	// faults is the fraction of calls that go wrong in some way.
+	// faults is the fraction of calls with an injected fault.
 	faults float64
 	writes int
 	lost   int
@@ -38,8 +38,8 @@
 	s.down, s.faults = down, faults
 }
 
-// draw decides how a call goes: how long it takes, and which fault it meets.
-func (s *fakeStore) draw() (time.Duration, string) {
+// drawFault returns the latency of a call and its injected fault, if any.
+func (s *fakeStore) drawFault() (time.Duration, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wait := time.Duration(1+s.rng.IntN(4)) * time.Millisecond
@@ -54,7 +54,7 @@
 
 // Get implements platform.Store.
 func (s *fakeStore) Get(ctx context.Context, key string) (platform.Entry, error) {
-	wait, fault := s.draw()
+	wait, fault := s.drawFault()
 	time.Sleep(wait)
 	if fault == "busy" {
 		return platform.Entry{}, platform.ErrBusy
@@ -73,27 +73,27 @@
 
 // Put implements platform.Store.
 func (s *fakeStore) Put(ctx context.Context, key string, value []byte, version uint64, _ string) (uint64, error) {
-	wait, fault := s.draw()
+	wait, fault := s.drawFault()
 	time.Sleep(wait)
 	switch fault {
 	case "busy":
 		return 0, platform.ErrBusy
 	case "before":
-		return 0, s.loseOne()
+		return 0, s.countLost()
 	case "after":
 		_, _ = s.put(key, value, version)
-		return 0, s.loseOne()
+		return 0, s.countLost()
 	case "late":
 		go func() {
 			time.Sleep(100 * wait)
 			_, _ = s.put(key, value, version)
 		}()
-		return 0, s.loseOne()
+		return 0, s.countLost()
 	case "slow":
 		time.Sleep(100 * wait)
 		v, err := s.put(key, value, version)
 		if ctx.Err() != nil {
-			return 0, s.loseOne()
+			return 0, s.countLost()
 		}
 		return v, err
 	}
@@ -102,7 +102,7 @@
 
 // Grant implements platform.Store.
 func (s *fakeStore) Grant(context.Context, time.Duration) (string, error) {
-	wait, fault := s.draw()
+	wait, fault := s.drawFault()
 	time.Sleep(wait)
 	if fault != "" {
 		return "", platform.ErrUnknown
@@ -110,7 +110,7 @@
 	return "lease", nil
 }
 
-func (s *fakeStore) loseOne() error {
+func (s *fakeStore) countLost() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lost++
@@ -129,7 +129,7 @@
 	return version + 1, nil
 }
 
-// fakePeers connects Guards in one process; a call may be cut off.
+// fakePeers connects Guards in one process, with injected connection faults.
 type fakePeers struct {
 	mu     sync.Mutex
 	rng    *rand.Rand
@@ -158,7 +158,7 @@
 	return &fakeClient{p, addr}
 }
 
-func (p *fakePeers) draw(addr string) (*Guard, string) {
+func (p *fakePeers) drawFault(addr string) (*Guard, string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.rng.Float64() >= p.faults {
@@ -172,23 +172,23 @@
 	addr  string
 }
 
-var errCut = errors.New("cut off")
+var errConnectionLost = errors.New("connection lost")
 
 func (c *fakeClient) DRPCConn() drpc.Conn { return nil }
 
 func (c *fakeClient) Apply(ctx context.Context, m *wire.ClaimCall) (*wire.ClaimAnswer, error) {
-	return through(ctx, c, m, (*Guard).Apply)
+	return relay(ctx, c, m, (*Guard).Apply)
 }
 
 func (c *fakeClient) Fate(ctx context.Context, m *wire.ClaimFateRequest) (*wire.ClaimFateResponse, error) {
-	return through(ctx, c, m, (*Guard).Fate)
+	return relay(ctx, c, m, (*Guard).Fate)
 }
 
-func through[In, Out any](ctx context.Context, c *fakeClient, m In, serve func(*Guard, context.Context, In) (*Out, error)) (*Out, error) {
-	g, fault := c.peers.draw(c.addr)
+func relay[In, Out any](ctx context.Context, c *fakeClient, m In, serve func(*Guard, context.Context, In) (*Out, error)) (*Out, error) {
+	g, fault := c.peers.drawFault(c.addr)
 	time.Sleep(time.Millisecond)
 	if g == nil || g.ctx.Err() != nil || fault == "refused" {
-		return nil, errCut
+		return nil, errConnectionLost
 	}
 	if fault == "hangs" {
 		<-ctx.Done()
@@ -196,7 +196,7 @@
 	}
 	out, err := serve(g, ctx, m)
 	if fault != "" || g.ctx.Err() != nil {
-		return nil, errCut
+		return nil, errConnectionLost
 	}
 	return out, err
 }
--- a/transport/claims/guard.go
+++ b/transport/claims/guard.go
@@ -14,21 +14,21 @@
 	"goldcrestport/transport/platform"
 )
 
-// Request is a non-idempotent request with a caller's key.
+// Request is a non-idempotent request with an idempotency key.
 type Request struct {
-	// ID is unique over the fleet and all time.
+	// ID is unique across the fleet and never reused.
 	ID      string
 	Team    string
 	Service string
 	Key     string
 	Method  string
 	Path    string
-	// Body is not used after the call that it is given to.
+	// Body is not used after the call that it is passed to returns.
 	Body []byte
 }
 
-// Guard claims keys for this process and keeps the attempts that it may
-// dispatch.
+// Guard claims keys for this process and tracks the attempts that the process
+// may dispatch.
 type Guard struct {
 	cfg      Config
 	executor claims.Executor
@@ -43,7 +43,7 @@
 	attempts *claims.Attempts
 }
 
-// New returns a Guard of a new incarnation. The config must be valid.
+// New returns a Guard with a new incarnation ID. The config must be valid.
 func New(cfg Config, self Peer, store platform.Store, peers Peers) *Guard {
 	m := newMetrics()
 	if cfg.Core.Seed == 0 {
@@ -62,8 +62,8 @@
 	}
 }
 
-// Start runs the Guard's duty until ctx ends. It must be called before any
-// other method but Metrics.
+// Start runs the writer's goroutine until ctx ends. It must be called before any
+// other method except Metrics.
 func (g *Guard) Start(ctx context.Context) {
 	g.ctx = ctx
 	go g.writer.run(ctx)
@@ -73,13 +73,13 @@
 // Metrics returns the Guard's counters.
 func (g *Guard) Metrics() *expvar.Map { return g.metrics.vars }
 
-// SetRouters takes the live routers of the instance list.
+// SetRouters sets the live routers of the instance list.
 func (g *Guard) SetRouters(peers []Peer) {
 	g.writer.post(g.ctx, event{event: g.homes.set(peers)})
 }
 
-// Finish keeps the result of a granted request and records it behind the
-// caller's back. Until it is recorded this process answers for it.
+// Finish keeps the result of a granted request and records it in the background.
+// Until it is recorded, this process serves it to routers that ask for it.
 func (g *Guard) Finish(r Request, result claims.Result) {
 	g.mu.Lock()
 	g.attempts.End(r.ID, result)
@@ -89,13 +89,14 @@
 	go g.record(call)
 }
 
-// Pauses between tries to record a result.
+// First and longest delay between attempts to record a result or a release.
 const (
 	recordPause    = 100 * time.Millisecond
 	recordPauseMax = 5 * time.Second
 )
 
-// record tries until the result is in the record or the key has expired.
+// record retries with exponential backoff until the result is stored or the key
+// has expired.
 func (g *Guard) record(call claim.Call) {
 	until := time.Now().Add(g.cfg.Core.Expiry)
 	for pause := recordPause; time.Now().Before(until); pause = min(2*pause, recordPauseMax) {
@@ -112,7 +113,7 @@
 	g.forget(call.Attempt)
 }
 
-// sleep waits and reports whether the process still runs.
+// sleep waits for d; it returns false if the Guard's context ended first.
 func (g *Guard) sleep(d time.Duration) bool {
 	select {
 	case <-g.ctx.Done():
@@ -122,9 +123,10 @@
 	}
 }
 
-// Release gives up the key of a request that was not run and never will be.
-// It waits a short time for the release to be written; the caller may be told
-// not-run in any case, since this process says so to whoever asks.
+// Release releases the key of a request that was not run and never will be. It
+// waits up to ReleaseWait for the release to be written. The caller may return
+// not-run in any case, since this process reports the attempt as not run to
+// every router that asks.
 func (g *Guard) Release(r Request) {
 	g.forget(r.ID)
 	g.metrics.released.Add(1)
@@ -141,8 +143,9 @@
 }
 
 // release writes a release in the background and returns a channel that is
-// closed at its end, or nil when too many are under way: the claim is then
-// recognised later by asking this process.
+// closed when the write has ended. It returns nil if MaxReleases are already in
+// progress: other routers then learn by asking this process that the attempt was
+// not run.
 func (g *Guard) release(r Request) <-chan struct{} {
 	select {
 	case g.releases <- struct{}{}:
@@ -172,7 +175,7 @@
 func (g *Guard) Flush(ctx context.Context) error {
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
-	for g.held() > 0 {
+	for g.pendingAttempts() > 0 {
 		g.writer.post(ctx, event{event: claim.Flushed{}})
 		select {
 		case <-ctx.Done():
@@ -183,7 +186,7 @@
 	return nil
 }
 
-func (g *Guard) held() int {
+func (g *Guard) pendingAttempts() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.attempts.Len()
--- a/transport/claims/history_test.go
+++ b/transport/claims/history_test.go
@@ -19,16 +19,16 @@
 	"goldcrestport/state/claims"
 )
 
-// Size of one recorded history.
+// Parameters of one recorded history.
 const (
 	historyRouters = 4
-	historyKeys    = 6               // in use at one time
-	historyWindow  = 4 * time.Second // after which others are used
+	historyKeys    = 6               // in use at the same time
+	historyWindow  = 4 * time.Second // after which new keys are used
 	historyCallers = 12
 	historyTime    = 40 * time.Second
 )
 
-// fleet is a few Guards that share a store, with callers that repeat keys.
+// fleet is a set of Guards that share a store, with callers that reuse keys.
 type fleet struct {
 	seed  uint64
 	store *fakeStore
@@ -41,7 +41,7 @@
 	guards  []*process
 	history []porcupine.Operation
 	runs    map[string][]string // attempts that ran, by key
-	refused map[string]bool     // attempts that were answered not-run
+	refused map[string]bool     // attempts that were reported as not run
 	counts  map[string]int
 	faults  int
 	sealed  int64
@@ -71,7 +71,7 @@
 	return f
 }
 
-// restart kills router i and starts it without memory.
+// restart kills router i and starts a new incarnation without its state.
 func (f *fleet) restart(i int) {
 	f.mu.Lock()
 	if f.guards[i] != nil {
@@ -100,7 +100,7 @@
 	return f.guards[i]
 }
 
-// Inputs of the register that each key is.
+// Operations on a key, which is modelled as a register.
 type opKind int
 
 const (
@@ -136,7 +136,7 @@
 
 func keyName(window, n int) string { return fmt.Sprintf("key-%d-%d", window, n) }
 
-// caller repeats requests with few keys through any router.
+// caller sends requests with a small set of keys through random routers.
 func (f *fleet) caller(id int) {
 	defer f.wg.Done()
 	rng := rand.New(rand.NewPCG(f.seed, uint64(1000+id)))
@@ -149,17 +149,17 @@
 
 func (f *fleet) request(id int, attempt, key string, g *process, rng *rand.Rand) {
 	r := Request{ID: attempt, Team: "t", Service: "s", Key: key, Method: "POST", Path: "/", Body: []byte("b")}
-	began := time.Now()
+	start := time.Now()
 	d := g.Acquire(g.ctx, r)
 	switch {
 	case g.ctx.Err() != nil:
 		f.count("killed")
 	case d.Replay != nil:
 		f.count("replayed")
-		f.record(id, input{opReplay, key, string(d.Replay.Body)}, began, time.Now())
+		f.record(id, input{opReplay, key, string(d.Replay.Body)}, start, time.Now())
 	case d.Run:
-		f.record(id, input{opRun, key, ""}, began, time.Now())
-		f.run(id, r, g, rng)
+		f.record(id, input{opRun, key, ""}, start, time.Now())
+		f.execute(id, r, g, rng)
 	default:
 		f.count(string(d.Refusal.Kind) + " " + string(d.Refusal.Reason))
 		f.mu.Lock()
@@ -168,19 +168,19 @@
 	}
 }
 
-// run is what a router does with a granted request; it may be slow, killed on
-// the way, or find that the request can't be run.
-func (f *fleet) run(id int, r Request, g *process, rng *rand.Rand) {
+// execute simulates a router that executes a granted request: it may be slow, be
+// killed before or during the run, or release the request without running it.
+func (f *fleet) execute(id int, r Request, g *process, rng *rand.Rand) {
 	time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
 	if g.ctx.Err() != nil {
 		f.count("killed before its run")
 		return
 	}
 	if rng.IntN(2) == 0 {
-		began := time.Now()
+		start := time.Now()
 		g.Release(r)
 		f.count("released")
-		f.record(id, input{opRelease, r.Key, ""}, began, time.Now())
+		f.record(id, input{opRelease, r.Key, ""}, start, time.Now())
 		return
 	}
 	f.mu.Lock()
@@ -196,8 +196,9 @@
 	g.Finish(r, claims.Result{Outcome: "completed", Status: 200, Kept: true, Body: []byte(r.ID)})
 }
 
-// trouble makes one failure after the other, two at a time now and then.
-func (f *fleet) trouble() {
+// injectFaults injects one fault after another; sometimes the next one starts before
+// the last one is repaired.
+func (f *fleet) injectFaults() {
 	defer f.wg.Done()
 	rng := rand.New(rand.NewPCG(f.seed, 3))
 	for time.Since(f.start) < historyTime {
@@ -214,18 +215,18 @@
 		}
 		time.Sleep(time.Duration(rng.IntN(2500)) * time.Millisecond)
 		if rng.IntN(3) > 0 {
-			f.heal()
+			f.repair()
 		}
 	}
-	f.heal()
+	f.repair()
 }
 
-func (f *fleet) heal() {
+func (f *fleet) repair() {
 	f.store.set(false, 0.05)
 	f.peers.set(0)
 }
 
-// model is one key: free, claimed, or ended with a result.
+// model describes the states of one key: free, claimed, or ended with a result.
 var model = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -255,21 +256,22 @@
 	},
 }
 
-// check is the verdict on one history.
+// check verifies that no key ran twice, that no attempt that ran was reported as
+// not run, and that the history is linearizable.
 func (f *fleet) check(c *quicktest.C) {
 	for key, ran := range f.runs {
 		c.Check(len(ran) <= 1, quicktest.IsTrue, quicktest.Commentf("seed %d: %s ran %d times: %v", f.seed, key, len(ran), ran))
 		for _, attempt := range ran {
-			c.Check(f.refused[attempt], quicktest.IsFalse, quicktest.Commentf("seed %d: %s ran and was answered not-run", f.seed, attempt))
+			c.Check(f.refused[attempt], quicktest.IsFalse, quicktest.Commentf("seed %d: %s ran but was reported as not run", f.seed, attempt))
 		}
 	}
 	result := porcupine.CheckOperationsTimeout(model, f.history, 10*time.Second)
 	c.Check(result, quicktest.Equals, porcupine.Ok, quicktest.Commentf("seed %d: history of %d operations", f.seed, len(f.history)))
 }
 
-// settled checks that, with every failure mended, each key can be asked for
-// and what ran under a living router has its recorded result.
-func (f *fleet) settled(c *quicktest.C) {
+// checkAfterRepair checks that, with all faults repaired, no claim is refused as not run
+// and no key that ran is granted again.
+func (f *fleet) checkAfterRepair(c *quicktest.C) {
 	for n := range historyKeys * int(historyTime/historyWindow) {
 		key := keyName(n/historyKeys, n%historyKeys)
 		g := f.guard(n % historyRouters)
@@ -282,10 +284,12 @@
 	}
 }
 
-// TestRunsAtMostOnce records histories under failures of the platform, the
-// links and the routers. CLAIMS_RUNS sets how many, CLAIMS_SEED the first.
+// TestRunsAtMostOnce guards against a key that runs twice and against a request
+// that ran but was reported as not run. It records histories while calls to the
+// platform and between routers fail and routers restart. CLAIMS_RUNS sets the
+// number of histories, CLAIMS_SEED the first seed.
 func TestRunsAtMostOnce(t *testing.T) {
-	runs, first := number("CLAIMS_RUNS", 20), number("CLAIMS_SEED", 1)
+	runs, first := envInt("CLAIMS_RUNS", 20), envInt("CLAIMS_SEED", 1)
 	total, faults, requests, sealed := map[string]int{}, 0, 0, int64(0)
 	for seed := first; seed < first+runs; seed++ {
 		synctest.Test(t, func(t *testing.T) {
@@ -296,11 +300,11 @@
 			for id := range historyCallers {
 				go f.caller(id)
 			}
-			go f.trouble()
+			go f.injectFaults()
 			f.wg.Wait()
 			f.store.set(false, 0)
 			time.Sleep(10 * time.Second)
-			f.settled(c)
+			f.checkAfterRepair(c)
 			f.check(c)
 			for what, n := range f.counts {
 				total[what] += n
@@ -312,15 +316,15 @@
 				sealed += f.guard(i).metrics.sealed.Value()
 			}
 			cancel()
-			time.Sleep(time.Minute) // until every goroutine has ended
+			time.Sleep(time.Minute) // lets all goroutines end
 		})
 	}
 	t.Logf("claims: %d runs, %d requests, %d failures made, %d segments; %v", runs, requests, faults, sealed, total)
 }
 
-func number(name string, otherwise int) int {
+func envInt(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
--- a/transport/claims/homes.go
+++ b/transport/claims/homes.go
@@ -8,28 +8,29 @@
 	"goldcrestport/coordination/claim"
 )
 
-// maxTries is the number of routers that a call is tried at: the home, the
-// next in rank and this process itself.
-const maxTries = 3
+// maxCandidates is the number of routers that a call is sent to: the shard's home, the
+// next router in rank and this process itself.
+const maxCandidates = 3
 
-// homes knows which routers write which shard, and which did not answer.
+// homes maps each shard to the routers that write it, and tracks routers that did
+// not answer recently. A shard's home is the router that ranks first for it.
 type homes struct {
-	self     string
-	suspect  time.Duration
-	mu       sync.Mutex
-	address  map[string]string
-	rank     [shards][]string
-	suspects map[string]time.Time
+	self       string
+	suspectFor time.Duration
+	mu         sync.Mutex
+	address    map[string]string
+	rank       [shards][]string
+	suspects   map[string]time.Time
 }
 
 func newHomes(self string, suspectFor time.Duration) *homes {
-	h := &homes{self: self, suspect: suspectFor, suspects: map[string]time.Time{}}
+	h := &homes{self: self, suspectFor: suspectFor, suspects: map[string]time.Time{}}
 	h.set(nil)
 	return h
 }
 
-// set takes the routers of the instance list; it returns which shards have
-// their home here.
+// set replaces the routers of the instance list and returns the shards whose home
+// is this process.
 func (h *homes) set(peers []Peer) claim.HomesChanged {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -45,14 +46,14 @@
 	for s := range h.rank {
 		ranked := claim.Rank(s, ids)
 		out.Home[s] = ranked[0] == h.self
-		h.rank[s] = ranked[:min(len(ranked), maxTries-1)]
+		h.rank[s] = ranked[:min(len(ranked), maxCandidates-1)]
 	}
 	return out
 }
 
-// tries returns the routers to try for a shard, in order; this process has an
-// empty address and is always the last.
-func (h *homes) tries(shard int, now time.Time) []Peer {
+// candidates returns the routers to try for a shard, in order. This process has an
+// empty address and always comes last.
+func (h *homes) candidates(shard int, now time.Time) []Peer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []Peer
@@ -67,11 +68,11 @@
 	return append(out, Peer{ID: h.self})
 }
 
-// failed remembers that a router did not answer.
-func (h *homes) failed(id string, now time.Time) {
+// markSuspect marks a router that did not answer as suspect and removes expired marks.
+func (h *homes) markSuspect(id string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.suspects[id] = now.Add(h.suspect)
+	h.suspects[id] = now.Add(h.suspectFor)
 	for other, until := range h.suspects {
 		if now.After(until) {
 			delete(h.suspects, other)
@@ -79,12 +80,11 @@
 	}
 }
 
-// ask makes the call at the shard's home or, if that router does not answer,
-// at the next. The answer of a router that did answer is final. A call that
-// went unanswered may still take effect; that is safe, since it names the
-// same attempt wherever it is made.
+// ask sends the call to the shard's home or, if that router does not answer, to
+// the next one. The first answer is final. A call without an answer may still
+// take effect; that is safe, since it names the same attempt at every router.
 func (g *Guard) ask(ctx context.Context, c claim.Call) claim.Answer {
-	for _, p := range g.homes.tries(c.Key.Shard(), time.Now()) {
+	for _, p := range g.homes.candidates(c.Key.Shard(), time.Now()) {
 		if ctx.Err() != nil {
 			break
 		}
@@ -99,8 +99,9 @@
 	return claim.Answer{Verdict: claim.Unavailable}
 }
 
-// answerMargin is the part of a wait that is left to the way back.
-const answerMargin = 5
+// answerMarginDivisor is the divisor of a wait that gives the time reserved for the
+// answer to travel back: a fifth.
+const answerMarginDivisor = 5
 
 func (g *Guard) askPeer(ctx context.Context, p Peer, c claim.Call) (claim.Answer, bool) {
 	limit := g.cfg.PeerWait
@@ -110,16 +111,16 @@
 	sub, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	wait := time.Until(deadline(sub))
-	m, err := g.peers.Claims(sub, p.Address).Apply(sub, toWire(c, wait-wait/answerMargin))
+	m, err := g.peers.Claims(sub, p.Address).Apply(sub, toWire(c, wait-wait/answerMarginDivisor))
 	if err == nil {
 		return answerFromWire(m), true
 	}
 	g.metrics.suspects.Add(1)
-	g.homes.failed(p.ID, time.Now())
+	g.homes.markSuspect(p.ID, time.Now())
 	return claim.Answer{}, false
 }
 
-// deadline returns the context's deadline, which every caller here has set.
+// deadline returns the context's deadline; every caller in this package sets one.
 func deadline(ctx context.Context) time.Time {
 	d, _ := ctx.Deadline()
 	return d
--- a/transport/claims/metrics.go
+++ b/transport/claims/metrics.go
@@ -7,7 +7,7 @@
 	"goldcrestport/coordination/claim"
 )
 
-// metrics counts what a Guard does.
+// metrics holds the counters of a Guard.
 type metrics struct {
 	vars      *expvar.Map
 	asked     expvar.Int
@@ -59,8 +59,8 @@
 	return m
 }
 
-// platform counts the results of platform calls that were not OK.
-func (m *metrics) platform(r claim.CallResult) {
+// countFailure counts a platform call that failed, by kind of failure.
+func (m *metrics) countFailure(r claim.CallResult) {
 	switch r {
 	case claim.Conflict:
 		m.conflicts.Add(1)
@@ -71,8 +71,9 @@
 	}
 }
 
-// waited counts a claim and the time that its request waited for it.
-func (m *metrics) waited(since time.Time) {
+// observeWait counts a claim and the time that its request has waited since the given
+// start.
+func (m *metrics) observeWait(since time.Time) {
 	m.asked.Add(1)
 	m.waitUS.Add(time.Since(since).Microseconds())
 }
--- a/transport/claims/server.go
+++ b/transport/claims/server.go
@@ -8,8 +8,8 @@
 	"goldcrestport/state/claims"
 )
 
-// Apply implements wire.DRPCClaimsServer. Any router may be asked to write
-// any shard: compare-and-swap keeps two writers apart.
+// Apply implements wire.DRPCClaimsServer. Any router accepts writes to any shard:
+// compare-and-swap keeps concurrent writers from overwriting each other.
 func (g *Guard) Apply(ctx context.Context, m *wire.ClaimCall) (*wire.ClaimAnswer, error) {
 	c := fromWire(m, time.Now())
 	ctx, cancel := context.WithDeadline(ctx, c.Deadline.Add(2*tickEvery))
@@ -22,6 +22,6 @@
 	if m.Incarnation != g.executor.Incarnation {
 		return &wire.ClaimFateResponse{Fate: wire.ClaimFate(claims.FateGone)}, nil
 	}
-	fate, result := g.ownFate(m.Attempt)
+	fate, result := g.localFate(m.Attempt)
 	return &wire.ClaimFateResponse{Fate: wire.ClaimFate(fate), Result: resultToWire(result)}, nil
 }
--- a/transport/claims/writer.go
+++ b/transport/claims/writer.go
@@ -11,20 +11,21 @@
 	"goldcrestport/transport/platform"
 )
 
-// eventRing bounds the events on the way to the writer's duty.
-const eventRing = 1024
+// eventQueueSize is the capacity of the writer's event queue.
+const eventQueueSize = 1024
 
-// tickEvery is the period in which deadlines and pauses are looked at.
+// tickEvery is the interval at which deadlines and delays are checked.
 const tickEvery = 10 * time.Millisecond
 
-// event is what is handed to the writer's duty. A call comes with the channel
-// for its answer.
+// event is an entry of the writer's queue. A call comes with the channel for its
+// answer.
 type event struct {
 	event  claim.Event
 	answer chan claim.Answer
 }
 
-// writer is the duty that owns the claim core and calls the platform for it.
+// writer owns the state machine of coordination/claim and makes the platform calls
+// that it requests. Only its run goroutine accesses core, pending and lastID.
 type writer struct {
 	core    *claim.State
 	store   platform.Store
@@ -32,7 +33,7 @@
 	expiry  time.Duration
 	metrics *metrics
 	events  chan event
-	waiting map[uint64]chan claim.Answer
+	pending map[uint64]chan claim.Answer
 	lastID  uint64
 }
 
@@ -43,12 +44,12 @@
 		timeout: cfg.CallTimeout,
 		expiry:  cfg.Core.Expiry,
 		metrics: m,
-		events:  make(chan event, eventRing),
-		waiting: map[uint64]chan claim.Answer{},
+		events:  make(chan event, eventQueueSize),
+		pending: map[uint64]chan claim.Answer{},
 	}
 }
 
-// run is the duty's loop.
+// run processes events and ticks until ctx ends.
 func (w *writer) run(ctx context.Context) {
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
@@ -65,11 +66,11 @@
 }
 
 func (w *writer) handle(ctx context.Context, ev event) {
-	if asked, ok := ev.event.(claim.CallReceived); ok {
+	if received, ok := ev.event.(claim.CallReceived); ok {
 		w.lastID++
-		asked.Call.ID = w.lastID
-		w.waiting[w.lastID] = ev.answer
-		ev.event = asked
+		received.Call.ID = w.lastID
+		w.pending[w.lastID] = ev.answer
+		ev.event = received
 	}
 	w.step(ctx, ev.event)
 }
@@ -87,8 +88,8 @@
 		case claim.ReadSegment:
 			go w.readSegment(ctx, a)
 		case claim.Answer:
-			w.waiting[a.Call] <- a
-			delete(w.waiting, a.Call)
+			w.pending[a.Call] <- a
+			delete(w.pending, a.Call)
 		}
 	}
 }
@@ -102,7 +103,7 @@
 	}
 }
 
-// ask hands a call to the duty and waits for its answer.
+// ask queues a call and waits for its answer.
 func (w *writer) ask(ctx context.Context, c claim.Call) claim.Answer {
 	answer := make(chan claim.Answer, 1)
 	if !w.post(ctx, event{event: claim.CallReceived{Call: c}, answer: answer}) {
@@ -126,8 +127,8 @@
 	w.post(ctx, event{event: done})
 }
 
-// readSegment reads a segment. One that is missing is not taken for empty:
-// its keys are unknown until they expire.
+// readSegment reads a segment. A missing segment is not treated as empty: its
+// keys are unknown until they expire.
 func (w *writer) readSegment(ctx context.Context, a claim.ReadSegment) {
 	table, _, found, res := w.get(ctx, claims.SegmentKey(a.Shard, a.ID))
 	if !found {
@@ -136,7 +137,7 @@
 	w.post(ctx, event{event: claim.SegmentDone{Shard: a.Shard, ID: a.ID, Result: res, Table: table}})
 }
 
-// get reads one table and its version, and reports whether it exists.
+// get reads one table and its version, and reports whether the table exists.
 func (w *writer) get(ctx context.Context, key string) (*claims.Table, uint64, bool, claim.CallResult) {
 	w.metrics.reads.Add(1)
 	sub, cancel := context.WithTimeout(ctx, w.timeout)
@@ -146,7 +147,7 @@
 		return nil, 0, false, claim.OK
 	}
 	if err != nil {
-		w.metrics.platform(result(err))
+		w.metrics.countFailure(result(err))
 		return nil, 0, false, result(err)
 	}
 	table, err := claims.Decode(e.Value)
@@ -156,12 +157,12 @@
 	return table, e.Version, true, claim.OK
 }
 
-// leaseMargin is how long a segment outlives its keys, so that clocks that
-// differ do not make it vanish before.
+// leaseMargin is how long a segment outlives its keys, so that clock skew does
+// not remove it before they expire.
 const leaseMargin = 30 * time.Minute
 
-// seal stores a segment under a lease of its own, which removes it when its
-// keys have expired, or if no value ever names it.
+// seal stores a segment under its own lease. The lease removes it after its keys
+// have expired, also if no shard value ever refers to the segment.
 func (w *writer) seal(ctx context.Context, a claim.Seal) {
 	w.metrics.sealed.Add(1)
 	w.metrics.writes.Add(2)
@@ -172,7 +173,7 @@
 	if err == nil {
 		_, err = w.store.Put(sub, claims.SegmentKey(a.Shard, a.ID), a.Value, 0, lease)
 	}
-	w.metrics.platform(result(err))
+	w.metrics.countFailure(result(err))
 	w.post(ctx, event{event: claim.SealDone{Shard: a.Shard, Result: result(err)}})
 }
 
@@ -183,15 +184,15 @@
 	defer cancel()
 	version, err := w.store.Put(sub, claims.StoreKey(a.Shard), a.Value, a.Version, "")
 	done := claim.WriteDone{Shard: a.Shard, Result: result(err), Version: version}
-	w.metrics.platform(done.Result)
+	w.metrics.countFailure(done.Result)
 	if done.Result == claim.Lost {
 		w.metrics.readBacks.Add(1)
 	}
 	w.post(ctx, event{event: done})
 }
 
-// result says what an error proves about a call. Any error that is not known
-// to prove the opposite leaves the effect open.
+// result maps the error of a platform call to what it proves about the call. Any
+// error that does not prove that a call had no effect maps to Lost.
 func result(err error) claim.CallResult {
 	switch {
 	case err == nil:
