--- a/transport/spread/fuzz_test.go
+++ b/transport/spread/fuzz_test.go
@@ -15,19 +15,19 @@
 	"goldcrestport/protocol/wire"
 )
 
-// oneAnswer is a peer that gives the same answer to every question.
-type oneAnswer struct{ resp *wire.ConfigResponse }
+// fixedAsker is an Asker that returns the same response to every request.
+type fixedAsker struct{ resp *wire.ConfigResponse }
 
-func (o oneAnswer) Ask(context.Context, Peer, *wire.ConfigRequest) (*wire.ConfigResponse, error) {
+func (o fixedAsker) Ask(context.Context, Peer, *wire.ConfigRequest) (*wire.ConfigResponse, error) {
 	return o.resp, nil
 }
 
-// drain performs what the Spreader was told, without its own goroutine.
-func (s *Spreader) drain(ctx context.Context) {
+// processQueued processes the queued messages on the caller's goroutine.
+func (s *Spreader) processQueued(ctx context.Context) {
 	for {
 		select {
 		case m := <-s.messages:
-			s.take(m.doc)
+			s.setDocument(m.doc)
 			s.step(ctx, m.event)
 		default:
 			return
@@ -35,10 +35,11 @@
 	}
 }
 
-// Whatever a peer answers: the revision in force never falls, no knowledge is
-// newer than now, and what is then handed on can be read by the next.
+// FuzzPeerAnswers guards against malformed or hostile peer responses: whatever a
+// peer answers, the revision in force never decreases, no confirmation or list is
+// dated in the future, and the document passed on to other peers can be decoded.
 func FuzzPeerAnswers(f *testing.F) {
-	doc, err := document.Encode(document1(9))
+	doc, err := document.Encode(testDocument(9))
 	qt.Assert(f, err, qt.IsNil)
 	for _, m := range []*wire.ConfigResponse{
 		{Revision: 9, Document: doc},
@@ -55,7 +56,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var resp wire.ConfigResponse
 		if proto.Unmarshal(data, &resp) != nil {
-			return // drpc refuses it before any handler
+			return // drpc rejects it before it reaches a handler
 		}
 		c := qt.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -64,20 +65,20 @@
 		cfg.Self = "me"
 		store := &fakeStore{}
 		store.down.Store(true)
-		s := New(Options{Self: cfg, Store: store, Directory: store, Asker: oneAnswer{&resp}, Log: log.NewNopLogger()})
-		s.take(document1(7))
+		s := New(Options{Self: cfg, Store: store, Directory: store, Asker: fixedAsker{&resp}, Log: log.NewNopLogger()})
+		s.setDocument(testDocument(7))
 		for range 2 {
 			s.fetch(ctx, "router@a")
-			s.askForInstances(ctx)
-			s.drain(ctx)
+			s.fetchInstances(ctx)
+			s.processQueued(ctx)
 			c.Check(s.Revision() >= 7, qt.IsTrue)
 			c.Check(s.Age() >= 0, qt.IsTrue)
 			c.Check(s.list.Load().asOf.After(time.Now()), qt.IsFalse)
 		}
-		handed, err := s.Answer(&wire.ConfigRequest{WantInstances: true})
+		answer, err := s.Answer(&wire.ConfigRequest{WantInstances: true})
 		c.Assert(err, qt.IsNil)
-		if len(handed.Document) > 0 {
-			_, err = document.Decode(handed.Document)
+		if len(answer.Document) > 0 {
+			_, err = document.Decode(answer.Document)
 			c.Check(err, qt.IsNil)
 		}
 	})
--- a/transport/spread/instances.go
+++ b/transport/spread/instances.go
@@ -13,22 +13,24 @@
 	"goldcrestport/transport/platform"
 )
 
-// firstListEvery is the time between looks while no list is known.
+// firstListEvery is the polling interval until a first list is known.
 const firstListEvery = 200 * time.Millisecond
 
-// list is the instance list as this process knows it.
+// list is this process's copy of the instance list.
 type list struct {
 	instances []platform.Instance
 	encoded   []byte
 	digest    uint64
 	asOf      time.Time
-	// watchers is the number of processes that may read the platform's list.
+	// watchers is the number of routers that watch the platform, over all data
+	// centres.
 	watchers int
 }
 
 func (l *list) empty() bool { return l.asOf.IsZero() }
 
-// Instances implements platform.Directory from memory. The list may lag.
+// Instances implements platform.Directory from this process's copy of the list,
+// which may lag.
 func (s *Spreader) Instances(context.Context) ([]platform.Instance, error) {
 	l := s.list.Load()
 	if l.empty() {
@@ -37,27 +39,29 @@
 	return l.instances, nil
 }
 
-// InstancesAge returns how old the list is.
+// InstancesAge returns the time since the list was read from the platform, by
+// this process or by the one that passed it on.
 func (s *Spreader) InstancesAge() time.Duration { return time.Since(s.list.Load().asOf) }
 
-// listBytesPerSecond bounds what a watcher spends on reading the whole list
-// from the platform, which has no way to ask for changes only.
+// listBytesPerSecond bounds the rate at which a watcher reads the list from the
+// platform. Each read transfers the whole list, because the platform cannot
+// return changes only.
 const listBytesPerSecond = 4 << 10
 
-// readersAtOnce is how many watchers of the fleet read the list within one
-// InstancesEvery; the others have it from them.
-const readersAtOnce = 3
+// readersPerPeriod is how many watchers of the fleet read the platform's list within
+// one InstancesEvery; the others receive it from their peers.
+const readersPerPeriod = 3
 
-// followInstances refreshes the list until ctx ends. Every process asks a
-// router, which answers with a few bytes if nothing changed. Watchers take
-// turns to read the platform; processes that reach no router read it too, but
-// no more often than the read budget of the whole fleet allows.
+// followInstances refreshes the list until ctx ends. Every process polls a router,
+// which answers with a few bytes if nothing changed. Watchers also read the
+// platform, spread over time. So do processes that reach no router, but no more
+// often than the read budget of the whole fleet allows.
 func (s *Spreader) followInstances(ctx context.Context) {
 	every := min(s.opts.InstancesEvery, firstListEvery)
 	nextRead := time.Now().Add(time.Duration(rand.Int64N(int64(s.opts.Self.StartJitter) + 1)))
 	for ctx.Err() == nil {
-		asked := s.askForInstances(ctx)
-		wanted := !asked || s.view.Load().watcher
+		fetched := s.fetchInstances(ctx)
+		wanted := !fetched || s.view.Load().watcher
 		if wanted && !time.Now().Before(nextRead) {
 			s.readInstances(ctx)
 			nextRead = time.Now().Add(jittered(s.readEvery()))
@@ -72,45 +76,45 @@
 	}
 }
 
-// readEvery is the time between two reads of the platform's list by this
-// process.
+// readEvery returns the interval at which this process reads the platform's list.
 func (s *Spreader) readEvery() time.Duration {
 	l := s.list.Load()
 	switch {
 	case l.empty():
 		return firstListEvery
 	case s.view.Load().watcher:
-		return s.turnEvery()
+		return s.watcherReadEvery()
 	}
 	fair := time.Duration(float64(len(l.instances)) / s.opts.Self.ReadBudget * float64(time.Second))
 	return max(s.opts.InstancesEvery, fair)
 }
 
-// jittered returns a random time around d.
+// jittered returns a random duration between 3/4 and 5/4 of d.
 func jittered(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(rand.Int64N(int64(d/2)+1))
 }
 
-// turnEvery is the time between two reads of the list by one watcher.
-func (s *Spreader) turnEvery() time.Duration {
+// watcherReadEvery returns the interval at which one watcher reads the platform's list.
+func (s *Spreader) watcherReadEvery() time.Duration {
 	l := s.list.Load()
-	turns := s.opts.InstancesEvery * time.Duration(l.watchers) / readersAtOnce
+	turns := s.opts.InstancesEvery * time.Duration(l.watchers) / readersPerPeriod
 	bytes := time.Duration(len(l.encoded)) * time.Second / listBytesPerSecond
 	return max(s.opts.InstancesEvery, turns, bytes)
 }
 
 func (s *Spreader) readInstances(ctx context.Context) {
-	s.use.lists.Add(1)
+	s.usage.lists.Add(1)
 	got, err := s.opts.Directory.Instances(ctx)
 	if err == nil {
 		s.setInstances(ctx, got, time.Now())
 	}
 }
 
-// askForInstances asks a router of the data centre, or any, for the list. It
-// reports whether the list is now as fresh as a peer could make it.
-func (s *Spreader) askForInstances(ctx context.Context) bool {
-	p, ok := s.someRouter()
+// fetchInstances requests the list from a router, preferably of its own data
+// centre. It returns true if the router sent a valid list or confirmed the current
+// one, even if the list of this process was newer.
+func (s *Spreader) fetchInstances(ctx context.Context) bool {
+	p, ok := s.pickRouter()
 	if !ok {
 		return false
 	}
@@ -119,19 +123,20 @@
 		InstancesDigest: s.list.Load().digest,
 		WantInstances:   true,
 	}
-	s.use.fetches.Add(1)
+	s.usage.fetches.Add(1)
 	resp, err := s.opts.Asker.Ask(ctx, p, req)
 	if err != nil {
 		return false
 	}
 	age := wire.Millis(resp.ConfigAgeMs)
-	s.post(ctx, message{event: spread.PeerReported{Peer: key(p), Revision: resp.Revision, Age: age}})
-	return s.takeInstances(ctx, resp)
+	s.post(ctx, message{event: spread.PeerReported{Peer: peerKey(p), Revision: resp.Revision, Age: age}})
+	return s.updateInstances(ctx, resp)
 }
 
-// someRouter returns a router to ask, one of the own data centre if possible,
-// else one that was heard or a seed.
-func (s *Spreader) someRouter() (Peer, bool) {
+// pickRouter returns a random live router of this data centre. If there is none,
+// it chooses among the routers of other data centres and the last router that
+// sent a report, and then among the seeds.
+func (s *Spreader) pickRouter() (Peer, bool) {
 	var near, far []Peer
 	for _, i := range s.list.Load().instances {
 		if i.Role != platform.RoleRouter || i.ID == s.opts.Self.Self || i.State != platform.StateLive {
@@ -144,7 +149,7 @@
 			far = append(far, p)
 		}
 	}
-	if p := s.contact.Load(); p != nil {
+	if p := s.lastReporter.Load(); p != nil {
 		far = append(far, *p)
 	}
 	for _, from := range [][]Peer{near, far, s.opts.Seeds} {
@@ -155,18 +160,19 @@
 	return Peer{}, false
 }
 
-// takeInstances takes the peer's list up if it is newer than the own one.
-func (s *Spreader) takeInstances(ctx context.Context, resp *wire.ConfigResponse) bool {
+// updateInstances replaces the list with the peer's if that is newer. It returns
+// false if the response contains no valid list.
+func (s *Spreader) updateInstances(ctx context.Context, resp *wire.ConfigResponse) bool {
 	if resp.InstancesDigest == 0 {
 		return false
 	}
 	asOf := time.Now().Add(-wire.Millis(resp.InstancesAgeMs))
-	own := s.list.Load()
-	if !asOf.After(own.asOf) {
+	current := s.list.Load()
+	if !asOf.After(current.asOf) {
 		return true
 	}
-	if resp.InstancesDigest == own.digest {
-		same := *own
+	if resp.InstancesDigest == current.digest {
+		same := *current
 		same.asOf = asOf
 		s.list.Store(&same)
 		return true
@@ -199,7 +205,7 @@
 	s.post(ctx, message{event: ev})
 }
 
-// countWatchers returns how many routers watch the platform in all data
+// countWatchers returns how many routers watch the platform, over all data
 // centres.
 func (s *Spreader) countWatchers(instances []platform.Instance) int {
 	routers := map[string]int{}
--- a/transport/spread/peers.go
+++ b/transport/spread/peers.go
@@ -18,12 +18,12 @@
 	"goldcrestport/transport/platform"
 )
 
-// askTimeout bounds one question to a peer.
+// askTimeout bounds one request to a peer.
 const askTimeout = time.Second
 
-func key(p Peer) string { return string(p.Role) + "@" + p.Address }
+func peerKey(p Peer) string { return string(p.Role) + "@" + p.Address }
 
-func peerOf(key string) Peer {
+func parsePeerKey(key string) Peer {
 	role, addr, _ := strings.Cut(key, "@")
 	return Peer{Role: platform.Role(role), Address: addr}
 }
@@ -37,7 +37,7 @@
 	return out
 }
 
-// PoolAsker asks over pooled drpc connections.
+// PoolAsker sends requests to peers over pooled drpc connections.
 type PoolAsker struct{ Pool *link.Pool }
 
 // Ask implements Asker.
@@ -50,29 +50,29 @@
 	return a.Pool.Sidecar(ctx, p.Address).Config(ctx, req)
 }
 
-// askSeeds asks some of the seeds for what they hold.
+// askSeeds fetches the configuration from up to seedAsks random seeds.
 func (s *Spreader) askSeeds(ctx context.Context) {
 	order := rand.Perm(len(s.opts.Seeds))
 	for _, i := range order[:min(seedAsks, len(order))] {
-		go s.fetch(ctx, key(s.opts.Seeds[i]))
+		go s.fetch(ctx, peerKey(s.opts.Seeds[i]))
 	}
 }
 
-// fetch asks one peer and takes up what it answers.
+// fetch requests the configuration from one peer and applies its response.
 func (s *Spreader) fetch(ctx context.Context, from string) {
-	s.use.fetches.Add(1)
+	s.usage.fetches.Add(1)
 	list := s.list.Load()
 	req := &wire.ConfigRequest{
 		Revision:        s.Revision(),
 		InstancesDigest: list.digest,
 		WantInstances:   list.empty(),
 	}
-	resp, err := s.opts.Asker.Ask(ctx, peerOf(from), req)
+	resp, err := s.opts.Asker.Ask(ctx, parsePeerKey(from), req)
 	if err != nil {
 		s.post(ctx, message{event: spread.FetchFailed{Peer: from}})
 		return
 	}
-	s.takeInstances(ctx, resp)
+	s.updateInstances(ctx, resp)
 	doc, err := s.documentOf(resp)
 	if err != nil {
 		_ = s.opts.Log.Log("event", "config_fetch_failed", "peer", from, "err", err)
@@ -96,18 +96,20 @@
 			return nil, errors.Wrap(err, "patch")
 		}
 		if doc == nil || doc.Revision != st.From {
-			// A newer document came in between; it contains the patch.
+			// A newer document, which includes the patch, arrived since the
+			// request.
 			continue
 		}
 		doc = st.apply(doc)
 	}
 	if doc != nil && doc.Revision < resp.Revision {
-		return nil, errors.Newf("patches lead to revision %d, not to %d", doc.Revision, resp.Revision)
+		return nil, errors.Newf("patches produce revision %d, want %d", doc.Revision, resp.Revision)
 	}
 	return doc, nil
 }
 
-// Answer tells a peer what it is behind with.
+// Answer returns the document or patches, and the instance list if requested,
+// that the peer lacks.
 func (s *Spreader) Answer(req *wire.ConfigRequest) (*wire.ConfigResponse, error) {
 	resp := &wire.ConfigResponse{Revision: s.Revision(), ConfigAgeMs: s.Age().Milliseconds()}
 	s.answerInstances(req, resp)
@@ -121,29 +123,29 @@
 		return resp, nil
 	}
 	var err error
-	resp.Document, err = s.whole.of(doc)
+	resp.Document, err = s.encoded.encode(doc)
 	return resp, err
 }
 
-// wholeDocument is the document in force as peers get it, written once for
-// each revision: a starting region asks for it all at once.
-type wholeDocument struct {
+// documentCache caches the encoding of the document in force. It is encoded once
+// per revision, because all processes of a starting region request it at once.
+type documentCache struct {
 	mu   sync.Mutex
 	doc  *config.Document
 	data []byte
 }
 
-// of returns the encoded document.
-func (w *wholeDocument) of(doc *config.Document) ([]byte, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.doc == doc {
-		return w.data, nil
+// encode returns the encoding of doc, from the cache if doc was encoded last.
+func (c *documentCache) encode(doc *config.Document) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.doc == doc {
+		return c.data, nil
 	}
 	data, err := document.Encode(doc)
 	if err != nil {
 		return nil, err
 	}
-	w.doc, w.data = doc, data
+	c.doc, c.data = doc, data
 	return data, nil
 }
--- a/transport/spread/platform.go
+++ b/transport/spread/platform.go
@@ -19,28 +19,29 @@
 	fetches atomic.Int64
 }
 
-// Usage is the number of calls that the Spreader has made.
+// Usage holds the number of calls that a Spreader has made.
 type Usage struct {
-	// Reads, Watches and Lists went to the platform, Fetches to peers.
+	// Reads, Watches and Lists count calls to the platform, Fetches calls to
+	// peers.
 	Reads, Watches, Lists, Fetches int64
 }
 
-// Usage returns the calls made so far.
+// Usage returns the number of calls made so far.
 func (s *Spreader) Usage() Usage {
 	return Usage{
-		Reads:   s.use.reads.Load(),
-		Watches: s.use.watches.Load(),
-		Lists:   s.use.lists.Load(),
-		Fetches: s.use.fetches.Load(),
+		Reads:   s.usage.reads.Load(),
+		Watches: s.usage.watches.Load(),
+		Lists:   s.usage.lists.Load(),
+		Fetches: s.usage.fetches.Load(),
 	}
 }
 
 // read reads the configuration from the platform once.
 func (s *Spreader) read(ctx context.Context) {
-	s.use.reads.Add(1)
+	s.usage.reads.Add(1)
 	e, err := s.opts.Store.Get(ctx, ConfigKey)
 	if errors.Is(err, platform.ErrNotFound) {
-		// The platform answered: there is no configuration yet.
+		// The platform is reachable but has no configuration yet.
 		s.post(ctx, message{event: spread.PlatformAnswered{}})
 		return
 	}
@@ -48,12 +49,13 @@
 		s.post(ctx, message{event: spread.PlatformFailed{}})
 		return
 	}
-	s.answered(ctx, e)
+	s.applyEntry(ctx, e)
 }
 
-// watch waits at the platform until the configuration changes.
+// watch long-polls the platform for a change of the configuration, for at most
+// watchTimeout.
 func (s *Spreader) watch(ctx context.Context) {
-	s.use.watches.Add(1)
+	s.usage.watches.Add(1)
 	s.mu.Lock()
 	after := s.storeAfter
 	s.mu.Unlock()
@@ -67,16 +69,16 @@
 	s.mu.Unlock()
 	for _, e := range entries {
 		if e.Key == ConfigKey && !e.Deleted {
-			s.answered(ctx, e)
+			s.applyEntry(ctx, e)
 			return
 		}
 	}
 	s.post(ctx, message{event: spread.PlatformAnswered{Revision: s.Revision()}})
 }
 
-// answered takes the platform's entry up. An entry that is no document counts
-// as no answer, so that the process goes on with what it has.
-func (s *Spreader) answered(ctx context.Context, e platform.Entry) {
+// applyEntry applies an entry received from the platform. An entry that cannot be
+// decoded counts as a failed call, so that the process keeps its document.
+func (s *Spreader) applyEntry(ctx context.Context, e platform.Entry) {
 	doc, err := document.Decode(e.Value)
 	if err != nil {
 		_ = s.opts.Log.Log("event", "config_unreadable", "version", e.Version, "err", err)
--- a/transport/spread/spread.go
+++ b/transport/spread/spread.go
@@ -1,9 +1,9 @@
-// Package spread brings the live configuration and the instance list to a
-// process and hands both on to its peers.
+// Package spread keeps the live configuration and the instance list of a process
+// up to date and distributes both to its peers.
 //
-// Routers and sidecars run one Spreader each. The decisions are those of
-// coordination/spread; this package performs them: it waits at the platform,
-// fetches from peers and answers their fetches.
+// Routers and sidecars run one Spreader each. coordination/spread makes the
+// decisions; this package performs them: it watches the platform, fetches from
+// peers and answers their requests.
 package spread
 
 import (
@@ -25,35 +25,37 @@
 // ConfigKey is the platform key of the live configuration.
 const ConfigKey = "goldcrest/config"
 
-// Periods and bounds of the driver.
+// Intervals and limits of a Spreader.
 const (
-	tickEvery = 20 * time.Millisecond
-	eventRing = 256
-	// watchTimeout is how long a watcher waits at the platform; when it ends
-	// the platform has confirmed what is held.
+	tickEvery      = 20 * time.Millisecond
+	eventQueueSize = 256
+	// watchTimeout bounds one long poll of the platform. A poll that ends
+	// without a change confirms that the current revision is the newest.
 	watchTimeout = 3 * time.Second
 	seedAsks     = 3
 )
 
-// Peer is a process of the system that can be asked.
+// Peer is a router or sidecar that requests can be sent to.
 type Peer struct {
 	Role platform.Role
-	// Address of the process for other processes, IP:port.
+	// Address at which other processes reach this one, IP:port.
 	Address string
 }
 
-// Asker asks a peer for what this process is behind with.
+// Asker requests from a peer the configuration and instance list that this
+// process lacks.
 type Asker interface {
 	Ask(ctx context.Context, p Peer, req *wire.ConfigRequest) (*wire.ConfigResponse, error)
 }
 
-// Options of a Spreader.
+// Options holds the settings and dependencies of a Spreader.
 type Options struct {
-	// Self tells the core who and where this process is.
+	// Self configures the core, including the identity and data centre of this
+	// process.
 	Self spread.Config
-	// Seeds are peers to ask at the start, before the platform.
+	// Seeds are peers to fetch from at the start, before the platform is read.
 	Seeds []Peer
-	// InstancesEvery is the time between looks at the instance list.
+	// InstancesEvery is the interval at which the instance list is refreshed.
 	InstancesEvery time.Duration
 	Store          platform.Store
 	Directory      platform.Directory
@@ -61,19 +63,19 @@
 	Log            log.Logger
 }
 
-// Spreader is the duty that keeps the configuration and the instance list.
+// Spreader keeps the configuration and the instance list of a process up to date.
 type Spreader struct {
 	opts     Options
 	core     *spread.State
 	messages chan message
 	doc      atomic.Pointer[config.Document]
 	list     atomic.Pointer[list]
-	// contact is the router that was heard last.
-	contact atomic.Pointer[Peer]
-	view    atomic.Pointer[view]
-	steps   steps
-	whole   wholeDocument
-	use     usage
+	// lastReporter is the router that sent the last report.
+	lastReporter atomic.Pointer[Peer]
+	view         atomic.Pointer[view]
+	steps        steps
+	encoded      documentCache
+	usage        usage
 
 	mu          sync.Mutex
 	subscribers []func(*config.Document)
@@ -81,14 +83,15 @@
 	storeAfter  uint64
 }
 
-// message is an event of the core or a document that was obtained.
+// message is an event for the core, with the document it refers to if one was
+// received. done, if set, is closed after the message has been processed.
 type message struct {
 	event spread.Event
 	doc   *config.Document
 	done  chan struct{}
 }
 
-// view is what other goroutines may know of the core.
+// view is a snapshot of the core's state for other goroutines.
 type view struct {
 	ready     bool
 	stale     bool
@@ -96,9 +99,9 @@
 	confirmed time.Time
 }
 
-// New returns a Spreader that holds nothing.
+// New returns a Spreader without a configuration or an instance list.
 func New(opts Options) *Spreader {
-	s := &Spreader{opts: opts, core: spread.New(opts.Self), messages: make(chan message, eventRing)}
+	s := &Spreader{opts: opts, core: spread.New(opts.Self), messages: make(chan message, eventQueueSize)}
 	s.view.Store(&view{stale: true})
 	s.list.Store(&list{})
 	return s
@@ -110,16 +113,16 @@
 	s.subscribers = append(s.subscribers, f)
 }
 
-// OnAnnounce calls f when peers have to hear of a revision at once. It must be
-// called before Run.
+// OnAnnounce calls f when a revision must be announced to peers immediately. It
+// must be called before Run.
 func (s *Spreader) OnAnnounce(f func(revision uint64)) {
 	s.announcers = append(s.announcers, f)
 }
 
-// Document returns the newest document held, or nil.
+// Document returns the document in force, or nil if there is none.
 func (s *Spreader) Document() *config.Document { return s.doc.Load() }
 
-// Revision returns the revision held, 0 for none.
+// Revision returns the revision in force, or 0 if there is none.
 func (s *Spreader) Revision() uint64 {
 	if d := s.doc.Load(); d != nil {
 		return d.Revision
@@ -127,16 +130,19 @@
 	return 0
 }
 
-// Age returns how long ago the held revision was known to be the newest.
+// Age returns the staleness of the configuration: the time since the revision in
+// force was last confirmed to be the newest.
 func (s *Spreader) Age() time.Duration { return time.Since(s.view.Load().confirmed) }
 
-// Stale reports whether the process does not know how fresh it is.
+// Stale reports whether the configuration has not been confirmed to be current
+// within the core's StaleAfter.
 func (s *Spreader) Stale() bool { return s.view.Load().stale }
 
-// ErrNotReady means that no configuration may be served yet.
+// ErrNotReady means that there is no confirmed configuration, or no instance list,
+// yet.
 var ErrNotReady = errors.New("no confirmed configuration")
 
-// Ready returns nil once the process may serve.
+// Ready returns nil once the process may serve requests, and ErrNotReady before.
 func (s *Spreader) Ready() error {
 	if !s.view.Load().ready {
 		return ErrNotReady
@@ -144,20 +150,21 @@
 	return nil
 }
 
-// Heard takes a peer's word on its revision. It never blocks: a word that is
-// lost in a full ring is repeated by the next heartbeat.
+// Heard processes a peer's report of its revision and the staleness of it. It
+// never blocks: a report dropped because the queue is full is repeated by the
+// next heartbeat.
 func (s *Spreader) Heard(p Peer, revision uint64, age time.Duration) {
 	if p.Role == platform.RoleRouter {
-		s.contact.Store(&p)
+		s.lastReporter.Store(&p)
 	}
 	select {
-	case s.messages <- message{event: spread.PeerReported{Peer: key(p), Revision: revision, Age: age}}:
+	case s.messages <- message{event: spread.PeerReported{Peer: peerKey(p), Revision: revision, Age: age}}:
 	default:
 	}
 }
 
-// Accept takes a document that this process has written to the platform and
-// returns when it is in force here.
+// Accept applies a document that this process has written to the platform and
+// returns when it is in force here or ctx has ended.
 func (s *Spreader) Accept(ctx context.Context, doc *config.Document) {
 	done := make(chan struct{})
 	s.post(ctx, message{event: spread.Accepted{Revision: doc.Revision}, doc: doc, done: done})
@@ -171,7 +178,7 @@
 	duty.Post(ctx, s.messages, m)
 }
 
-// Run keeps the configuration until ctx ends.
+// Run keeps the configuration and the instance list up to date until ctx ends.
 func (s *Spreader) Run(ctx context.Context) {
 	go s.askSeeds(ctx)
 	go s.followInstances(ctx)
@@ -182,7 +189,7 @@
 		case <-ctx.Done():
 			return
 		case m := <-s.messages:
-			s.take(m.doc)
+			s.setDocument(m.doc)
 			s.step(ctx, m.event)
 			if m.done != nil {
 				close(m.done)
@@ -193,16 +200,16 @@
 	}
 }
 
-// take puts a newer document in force.
+// setDocument puts a newer document in force.
 //
-// Invariant: the revision in force never falls.
-func (s *Spreader) take(doc *config.Document) {
-	held := s.doc.Load()
-	if doc == nil || (held != nil && doc.Revision <= held.Revision) {
+// Invariant: the revision in force never decreases.
+func (s *Spreader) setDocument(doc *config.Document) {
+	current := s.doc.Load()
+	if doc == nil || (current != nil && doc.Revision <= current.Revision) {
 		return
 	}
-	if held != nil {
-		s.steps.add(held, doc)
+	if current != nil {
+		s.steps.add(current, doc)
 	}
 	s.doc.Store(doc)
 	for _, f := range s.subscribers {
--- a/transport/spread/spread_test.go
+++ b/transport/spread/spread_test.go
@@ -18,7 +18,7 @@
 	"goldcrestport/transport/platform"
 )
 
-// fakeStore holds the configuration; down makes every call fail.
+// fakeStore stores the configuration; while down is set, every Get fails.
 type fakeStore struct {
 	platform.Store
 	value atomic.Pointer[platform.Entry]
@@ -45,7 +45,7 @@
 	f.value.Store(&platform.Entry{Key: ConfigKey, Value: data, Version: d.Revision})
 }
 
-// fakePeers answers for Spreaders by address.
+// fakePeers is an Asker that forwards requests to Spreaders by address.
 type fakePeers struct{ at map[string]*Spreader }
 
 func (f fakePeers) Ask(_ context.Context, p Peer, req *wire.ConfigRequest) (*wire.ConfigResponse, error) {
@@ -56,7 +56,7 @@
 	return s.Answer(req)
 }
 
-func document1(revision uint64) *config.Document {
+func testDocument(revision uint64) *config.Document {
 	return &config.Document{
 		Revision: revision,
 		Teams:    map[string]config.Team{fmt.Sprint("team", revision): {Share: float64(revision)}},
@@ -64,7 +64,7 @@
 	}
 }
 
-func started(c *qt.C, store *fakeStore, peers fakePeers, seeds ...Peer) *Spreader {
+func startSpreader(c *qt.C, store *fakeStore, peers fakePeers, seeds ...Peer) *Spreader {
 	cfg := corespread.DefaultConfig()
 	cfg.Self, cfg.StartJitter = c.Name(), time.Millisecond
 	s := New(Options{
@@ -84,20 +84,20 @@
 			return
 		}
 	}
-	c.Fatalf("not in time: %s", what)
+	c.Fatalf("timed out waiting for: %s", what)
 }
 
 func TestStartsFromPeersWhileThePlatformIsDown(t *testing.T) {
 	c := qt.New(t)
 	store := &fakeStore{}
-	store.put(c, document1(4))
+	store.put(c, testDocument(4))
 	peers := fakePeers{at: map[string]*Spreader{}}
-	old := started(c, store, peers)
-	eventually(c, "the first reads the platform", func() bool { return old.Revision() == 4 })
+	old := startSpreader(c, store, peers)
+	eventually(c, "the first process reads the platform", func() bool { return old.Revision() == 4 })
 	peers.at["a"] = old
 	store.down.Store(true)
-	fresh := started(c, store, peers, Peer{Role: platform.RoleRouter, Address: "a"})
-	eventually(c, "the second takes it from its peer", func() bool { return fresh.Ready() == nil })
+	fresh := startSpreader(c, store, peers, Peer{Role: platform.RoleRouter, Address: "a"})
+	eventually(c, "the second process gets the document from its peer", func() bool { return fresh.Ready() == nil })
 	c.Assert(config.Equal(fresh.Document(), old.Document()), qt.IsTrue)
 }
 
@@ -105,49 +105,50 @@
 	c := qt.New(t)
 	store := &fakeStore{}
 	store.down.Store(true)
-	s := started(c, store, fakePeers{}, Peer{Role: platform.RoleRouter, Address: "gone"})
-	eventually(c, "it has asked", func() bool { return s.Usage().Fetches > 0 && s.Usage().Reads > 0 })
+	s := startSpreader(c, store, fakePeers{}, Peer{Role: platform.RoleRouter, Address: "gone"})
+	eventually(c, "a fetch and a read have been made", func() bool { return s.Usage().Fetches > 0 && s.Usage().Reads > 0 })
 	c.Assert(s.Ready(), qt.Equals, ErrNotReady)
 	c.Assert(s.Stale(), qt.IsTrue)
 }
 
-// A peer that is behind gets differences, and the document that they make is
-// the one that was accepted.
-func TestDifferencesLeadToTheSameDocument(t *testing.T) {
+// A peer that is behind receives patches, and applying them produces the document
+// that was accepted.
+func TestPatchesProduceTheSameDocument(t *testing.T) {
 	c := qt.New(t)
 	store := &fakeStore{}
-	store.put(c, document1(1))
+	store.put(c, testDocument(1))
 	peers := fakePeers{at: map[string]*Spreader{}}
-	source := started(c, store, peers)
-	behind := started(c, store, peers)
-	eventually(c, "both have the first", func() bool { return source.Revision() == 1 && behind.Revision() == 1 })
+	source := startSpreader(c, store, peers)
+	behind := startSpreader(c, store, peers)
+	eventually(c, "both have revision 1", func() bool { return source.Revision() == 1 && behind.Revision() == 1 })
 	store.down.Store(true)
 	peers.at["a"] = source
 	for r := uint64(2); r <= 6; r++ {
-		source.Accept(context.Background(), document1(r))
+		source.Accept(context.Background(), testDocument(r))
 	}
 	resp, err := source.Answer(&wire.ConfigRequest{Revision: 1})
 	c.Assert(err, qt.IsNil)
 	c.Assert(resp.Patches, qt.HasLen, 5)
 	c.Assert(resp.Document, qt.HasLen, 0)
 	behind.Heard(Peer{Role: platform.RoleRouter, Address: "a"}, 6, 0)
-	eventually(c, "the last is in force", func() bool { return behind.Revision() == 6 })
+	eventually(c, "revision 6 is in force", func() bool { return behind.Revision() == 6 })
 	c.Assert(config.Equal(behind.Document(), source.Document()), qt.IsTrue)
 }
 
-// Many peers that start at once get the same bytes, written once.
-func TestWholeDocumentIsWrittenOnce(t *testing.T) {
+// Many peers that start at once receive the same bytes, which are encoded once per
+// revision.
+func TestWholeDocumentIsEncodedOnce(t *testing.T) {
 	c := qt.New(t)
 	store := &fakeStore{}
-	store.put(c, document1(1))
-	s := started(c, store, fakePeers{})
-	eventually(c, "the first", func() bool { return s.Revision() == 1 })
+	store.put(c, testDocument(1))
+	s := startSpreader(c, store, fakePeers{})
+	eventually(c, "revision 1 is in force", func() bool { return s.Revision() == 1 })
 	first, err := s.Answer(&wire.ConfigRequest{})
 	c.Assert(err, qt.IsNil)
 	again, err := s.Answer(&wire.ConfigRequest{})
 	c.Assert(err, qt.IsNil)
 	c.Assert(&again.Document[0], qt.Equals, &first.Document[0])
-	s.Accept(context.Background(), document1(2))
+	s.Accept(context.Background(), testDocument(2))
 	next, err := s.Answer(&wire.ConfigRequest{})
 	c.Assert(err, qt.IsNil)
 	c.Assert(next.Revision, qt.Equals, uint64(2))
@@ -157,9 +158,9 @@
 func TestOlderDocumentsNeverComeBack(t *testing.T) {
 	c := qt.New(t)
 	store := &fakeStore{}
-	store.put(c, document1(9))
-	s := started(c, store, fakePeers{})
-	eventually(c, "the newest", func() bool { return s.Revision() == 9 })
-	s.Accept(context.Background(), document1(3))
+	store.put(c, testDocument(9))
+	s := startSpreader(c, store, fakePeers{})
+	eventually(c, "revision 9 is in force", func() bool { return s.Revision() == 9 })
+	s.Accept(context.Background(), testDocument(3))
 	c.Assert(s.Revision(), qt.Equals, uint64(9))
 }
--- a/transport/spread/steps.go
+++ b/transport/spread/steps.go
@@ -7,10 +7,10 @@
 	"goldcrestport/state/config"
 )
 
-// maxSteps is the number of differences kept for peers that are behind.
+// maxSteps is the number of encoded patches kept for peers that are behind.
 const maxSteps = 64
 
-// step leads from one revision to a later one.
+// step is a patch from one revision to a later one.
 type step struct {
 	From       uint64             `json:"from"`
 	To         uint64             `json:"to"`
@@ -20,7 +20,7 @@
 	Accepted   *config.Acceptance `json:"accepted,omitempty"`
 }
 
-// apply returns the document that the step makes of its base.
+// apply returns the document that results from applying the step to base.
 func (st step) apply(base *config.Document) *config.Document {
 	next := st.Patch.Apply(base)
 	next.Revision = st.To
@@ -30,7 +30,7 @@
 	return next
 }
 
-// steps keeps the last differences, encoded.
+// steps keeps the most recent steps, encoded.
 type steps struct {
 	mu   sync.Mutex
 	kept []encodedStep
@@ -41,7 +41,7 @@
 	data     []byte
 }
 
-// add keeps the difference between two documents that were in force in turn.
+// add appends the step between two documents that were in force in succession.
 func (s *steps) add(from, to *config.Document) {
 	st := step{
 		From:       from.Revision,
@@ -55,7 +55,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		// Without this step the chain is broken; peers get the whole document.
+		// Without this step the chain has a gap: drop it, so that peers receive
+		// the whole document.
 		s.kept = nil
 		return
 	}
@@ -65,8 +66,8 @@
 	}
 }
 
-// since returns the differences that lead from one revision to another, if
-// all are kept.
+// since returns the steps from one revision to another, and false if some of them
+// are no longer kept or there are none.
 func (s *steps) since(from, to uint64) ([][]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
