--- a/transport/platform/fuzz_test.go
+++ b/transport/platform/fuzz_test.go
@@ -12,14 +12,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// answers answers every request with one status and body.
-type answers struct {
+// fixedTransport is a transport that returns the same status and body for every request
+// and counts the calls.
+type fixedTransport struct {
 	status int
 	body   []byte
 	calls  int
 }
 
-func (a *answers) RoundTrip(req *http.Request) (*http.Response, error) {
+func (a *fixedTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	a.calls++
 	return &http.Response{
 		StatusCode: a.status, Request: req, ProtoMajor: 1, ProtoMinor: 1,
@@ -28,12 +29,13 @@
 	}, nil
 }
 
-func typed(err error) bool {
+func isDocumented(err error) bool {
 	return errors.IsAny(err, ErrNotFound, ErrConflict, ErrBusy, ErrTooLarge, ErrUnknown)
 }
 
-// Each call is made once and ends in an answer or in one of the documented
-// errors; a success without an answer to read is none.
+// FuzzAnswers checks that, whatever the platform answers, each call is sent once
+// and returns a result or one of the documented errors. A call that reads a result
+// must not succeed on an empty body.
 func FuzzAnswers(f *testing.F) {
 	for _, body := range []string{
 		"", "null", "{}", "[]", `{"version":7}`, `{"version":-1}`, `{"key":"k","value":"AA=="}`, `{"id":"l"}`,
@@ -46,7 +48,7 @@
 	}
 	f.Fuzz(func(t *testing.T, status int, body []byte) {
 		c := qt.New(t)
-		a := &answers{status: status, body: body}
+		a := &fixedTransport{status: status, body: body}
 		client := NewClient("http://platform", "me", time.Second)
 		client.http.Transport = a
 		ctx := context.Background()
@@ -56,7 +58,7 @@
 			a.calls = 0
 			success := status >= http.StatusOK && status < http.StatusMultipleChoices
 			if err != nil {
-				c.Check(typed(err), qt.IsTrue, qt.Commentf("%v", err))
+				c.Check(isDocumented(err), qt.IsTrue, qt.Commentf("%v", err))
 				return
 			}
 			c.Check(success, qt.IsTrue)
--- a/transport/platform/http.go
+++ b/transport/platform/http.go
@@ -14,10 +14,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxAnswer bounds what is read of one answer, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds the part of a response body that is read, in bytes.
+const maxResponseBytes = 64 << 20
 
-// Client speaks to the platform over HTTP. It implements Store and Directory.
+// Client is an HTTP client of the platform. It implements Store and Directory.
 type Client struct {
 	base    string
 	caller  string
@@ -27,7 +27,7 @@
 
 // NewClient returns a client for the base URL. The caller name is sent with
 // each call, so that the platform can count calls per process. The timeout
-// bounds each call but watches.
+// bounds each call; a watch may take as much longer as its own timeout.
 func NewClient(base, caller string, timeout time.Duration) *Client {
 	tr := &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute}
 	return &Client{
@@ -38,8 +38,8 @@
 	}
 }
 
-// neverRedirect keeps the client from following a redirect: a write would
-// become a read, and the read's answer would pass for the write's.
+// neverRedirect keeps the client from following redirects: a redirected write
+// would become a read, whose response would be taken for that of the write.
 func neverRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // Get implements Store.
@@ -74,7 +74,7 @@
 	return c.call(ctx, http.MethodDelete, withQuery(keyPath(key), q), nil, nil)
 }
 
-// entries is the answer of List and Watch.
+// entries is the response body of List and Watch.
 type entries struct {
 	Entries  []Entry `json:"entries"`
 	Revision uint64  `json:"revision"`
@@ -155,14 +155,14 @@
 		return errors.Wrap(err, "platform request")
 	}
 	req.Header.Set("X-Caller", c.caller)
-	// Without this the transport would repeat a call whose answer was lost.
+	// Without this the transport would resend a call whose response was lost.
 	req.GetBody = nil
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return errors.Mark(errors.Wrapf(err, "%s %s", method, path), ErrUnknown)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return errors.Mark(errors.Wrapf(err, "%s %s", method, path), ErrUnknown)
 	}
--- a/transport/platform/platform.go
+++ b/transport/platform/platform.go
@@ -1,7 +1,8 @@
 // Package platform is the adapter to the platform: its key-value service with
 // compare-and-swap, leases and watches, and its list of instances.
 //
-// Routers and sidecars call it. What must last lives there and nowhere else.
+// Routers and sidecars call it. All durable state is stored in the platform and
+// nowhere else.
 package platform
 
 import (
@@ -18,14 +19,14 @@
 	ErrNotFound = errors.New("not found")
 	// ErrConflict means that the compare-and-swap found another version.
 	ErrConflict = errors.New("version conflict")
-	// ErrBusy means that the service refused the call because of its rate.
+	// ErrBusy means that the service rejected the call because of its rate limit.
 	ErrBusy = errors.New("rate limited")
-	// ErrCompacted means that the changes after a revision are not known any
-	// more: list again.
+	// ErrCompacted means that the changes after a revision are no longer
+	// available: the caller must list again.
 	ErrCompacted = errors.New("history compacted")
-	// ErrTooLarge means that the value is larger than the service holds.
+	// ErrTooLarge means that the value exceeds the size limit of the service.
 	ErrTooLarge = errors.New("value too large")
-	// ErrUnknown means that no answer came: the call may have taken effect.
+	// ErrUnknown means that the call got no usable answer and may have taken effect.
 	ErrUnknown = errors.New("no answer")
 )
 
@@ -37,7 +38,8 @@
 	Key string `json:"key"`
 	// Value is at most 1 MiB.
 	Value []byte `json:"value"`
-	// Version of the last write to the key; versions rise store-wide.
+	// Version of the last write to the key. Versions increase across the whole
+	// store.
 	Version uint64 `json:"version"`
 	Deleted bool   `json:"deleted,omitempty"`
 }
@@ -47,25 +49,26 @@
 type Store interface {
 	// Get returns the entry or ErrNotFound.
 	Get(ctx context.Context, key string) (Entry, error)
-	// Put writes the value if the key has the version (0: must not exist,
-	// AnyVersion: always) and returns the new version. lease may be empty.
+	// Put writes the value if the key has the given version (0: the key must not
+	// exist, AnyVersion: always) and returns the new version. lease may be empty.
 	Put(ctx context.Context, key string, value []byte, version uint64, lease string) (uint64, error)
-	// Delete removes the key if it has the version.
+	// Delete removes the key if it has the given version.
 	Delete(ctx context.Context, key string, version uint64) error
-	// List returns the entries below the prefix and the store's revision.
+	// List returns the entries with the prefix and the store's revision.
 	List(ctx context.Context, prefix string) ([]Entry, uint64, error)
-	// Watch returns the entries below the prefix changed after the revision,
-	// waiting up to the timeout, and the revision to go on from.
+	// Watch returns the entries with the prefix that changed after the given
+	// revision, waiting up to the timeout for one, and the revision to continue
+	// from.
 	Watch(ctx context.Context, prefix string, after uint64, timeout time.Duration) ([]Entry, uint64, error)
-	// Grant makes a lease that lapses after ttl unless it is renewed.
+	// Grant creates a lease that expires after ttl unless it is renewed.
 	Grant(ctx context.Context, ttl time.Duration) (string, error)
-	// Renew keeps the lease alive or returns ErrNotFound.
+	// Renew extends the lease, or returns ErrNotFound if it does not exist.
 	Renew(ctx context.Context, lease string) error
-	// Revoke ends the lease and removes its keys.
+	// Revoke ends the lease and deletes its keys.
 	Revoke(ctx context.Context, lease string) error
 }
 
-// Role of an instance.
+// Role is what an instance runs.
 type Role string
 
 // Roles in the instance list.
@@ -74,7 +77,7 @@
 	RoleSidecar Role = "sidecar"
 )
 
-// InstanceState is the platform's view of an instance.
+// InstanceState is the state of an instance as the platform reports it.
 type InstanceState string
 
 // States in the instance list.
@@ -83,11 +86,12 @@
 	StateLeaving InstanceState = "leaving"
 )
 
-// Instance is one line of the platform's list, which lags.
+// Instance is one entry of the platform's instance list, which lags behind the
+// actual state.
 type Instance struct {
 	ID   string `json:"id"`
 	Role Role   `json:"role"`
-	// Address of the process for other processes of the system, IP:port.
+	// Address at which other processes of the system reach the process, IP:port.
 	Address    string        `json:"address"`
 	DataCentre string        `json:"data_centre"`
 	Service    string        `json:"service,omitempty"`
@@ -96,6 +100,6 @@
 
 // Directory is the platform's list of instances.
 type Directory interface {
-	// Instances returns the list as of some time ago.
+	// Instances returns the list, which may be out of date.
 	Instances(ctx context.Context) ([]Instance, error)
 }
