--- a/transport/backend/exchanges.go
+++ b/transport/backend/exchanges.go
@@ -15,7 +15,7 @@
 	// ErrStalled means that the sent bytes make no progress.
 	ErrStalled = errors.New("no progress of what was sent")
 	// ErrServerLeft means that the server is draining or gone and sends nothing.
-	ErrServerLeft = errors.New("server shut down before it responded")
+	ErrServerLeft = errors.New("the server left before it answered")
 )
 
 // checkInterval is the time between two checks of the exchanges in flight.
--- a/transport/claims/acquire.go
+++ b/transport/claims/acquire.go
@@ -39,7 +39,7 @@
 func (g *Guard) Acquire(ctx context.Context, r Request) Decision {
 	defer g.metrics.observeWait(time.Now())
 	if !g.begin(r.ID) {
-		return g.refused("too many non-idempotent requests are in flight")
+		return g.refused("too many non-idempotent requests are held")
 	}
 	ctx, cancel := context.WithTimeout(ctx, g.cfg.Wait)
 	defer cancel()
@@ -74,7 +74,7 @@
 				return d
 			}
 		case claim.Full:
-			return g.refused("the key store is full")
+			return g.refused("the store of keys is full")
 		default:
 			// The claim may still be written. The attempt is forgotten first,
 			// so that this process reports it as not run before it requests
@@ -147,13 +147,13 @@
 func (g *Guard) refused(detail string) Decision {
 	g.metrics.refused.Add(1)
 	return Decision{Refusal: outcome.Refuse(outcome.ReasonPlatform, http.StatusServiceUnavailable, retryAfter,
-		detail+"; this request was not run, but an earlier request with the same key may have been: retry with the same key")}
+		detail+"; this request was not run, an earlier one with the key may have been: come back with the same key")}
 }
 
 func (g *Guard) reused() Decision {
 	g.metrics.reused.Add(1)
 	return Decision{Refusal: outcome.Refuse(outcome.ReasonKeyReused, http.StatusUnprocessableEntity, 0,
-		"the key was already used for a request with a different method, path or body; this request was not run")}
+		"the key belongs to a request with another method, path or body; this one was not run")}
 }
 
 // duplicate returns the decision for a repeated request while the first one may
@@ -166,7 +166,7 @@
 		Reason:     outcome.ReasonDuplicate,
 		Status:     http.StatusConflict,
 		RetryAfter: retryAfter,
-		Detail:     "a request with this key may be running; retry with the same key to get its result",
+		Detail:     "a request with this key is running; come back with the same key for its result",
 	}}
 }
 
@@ -176,6 +176,6 @@
 		Kind:   outcome.Unknown,
 		Reason: outcome.ReasonExecutorLost,
 		Status: http.StatusConflict,
-		Detail: "a request with this key may have run; the process that executed it no longer exists",
+		Detail: "a request with this key may have run; the process that held it is gone",
 	}}
 }
