--- a/transport/direct/abandoned.go
+++ b/transport/direct/abandoned.go
@@ -11,32 +11,32 @@
 	"goldcrestport/transport/backend"
 )
 
-// abandonedLines bounds the lines a second of attempts that were given up. They have a bound
-// of their own, so that refusals do not crowd them out.
+// abandonedLines bounds the log lines per second about abandoned attempts. They have their own
+// bound so that lines about refusals cannot starve them.
 const abandonedLines = 1000
 
-// Reasons for which attempts are given up, beside the errors of their exchanges.
+// Reasons for abandoning an attempt, in addition to the errors of its exchange.
 const (
 	whyCallerLeft = "caller_left"
 	whyDeadline   = "deadline"
 	whyStopping   = "router_stops"
 )
 
-// sending is one attempt whose first byte was written.
+// sending is an attempt whose first byte was written.
 type sending struct {
 	server roster.Server
-	// attempt is its number among those of its request.
+	// attempt is its number among the attempts of its request.
 	attempt int
-	// knowledge is how old the knowledge of who leaves was when the first byte was written;
-	// negative: there was none.
+	// knowledge is how old the router's information about draining servers was when the first
+	// byte was written; negative if there was none.
 	knowledge time.Duration
 }
 
-// knowledgeAge is the name of the histogram's one series.
+// knowledgeAge is the name of the histogram's only series.
 const knowledgeAge = "first_byte"
 
-// begins returns why the attempt must not be sent after all, or notes what is known when its
-// first byte is written.
+// begins runs before the first byte is written. It returns why the attempt must not be sent,
+// or records the age of the router's information about draining servers.
 func (c *call) begins(run *admission.Run, s *sending) error {
 	if err := c.mayBegin(run, s.server); err != nil {
 		return err
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// abandoned notes an attempt that was given up after its first byte was written. Of one that
-// was answered, as by a refusal whose text nobody needs, there is nothing to note.
+// abandoned records an attempt that was abandoned after its first byte was written. It ignores
+// attempts that were answered, such as by a refusal whose text is not needed.
 func (c *call) abandoned(ctx context.Context, s *sending, a backend.Abandoned) {
 	if a.Answered && a.Err == nil && ctx.Err() == nil {
 		return
@@ -68,7 +68,7 @@
 		"answered", a.Answered, "unacked", a.Unacked, "left_out", dropped)
 }
 
-// whyAbandoned says why the attempt was given up.
+// whyAbandoned returns why the attempt was abandoned.
 func (c *call) whyAbandoned(ctx context.Context, a backend.Abandoned) string {
 	switch {
 	case ctx.Err() == nil:
--- a/transport/direct/abandoned_test.go
+++ b/transport/direct/abandoned_test.go
@@ -13,7 +13,7 @@
 	"goldcrestport/protocol/settings"
 )
 
-// find returns the first line that has all the parts, waiting for it.
+// find returns the first line that contains all the parts, waiting for it.
 func (b *lineBuffer) find(parts ...string) string {
 	for range 100 {
 		for _, line := range strings.Split(b.String(), "\n") {
@@ -35,8 +35,8 @@
 	return true
 }
 
-// Guards against attempts that nobody sees: each one that is given up after its first byte
-// has a line, beside any number of refusals in the same second.
+// Guards against abandoned attempts that leave no trace: each attempt that is abandoned after
+// its first byte is logged, besides any number of refusals in the same second.
 func TestEachAbandonedAttemptHasALine(t *testing.T) {
 	silent := newBackend(t, "i-1", func(io.Writer, *http.Request) bool {
 		time.Sleep(time.Second)
--- a/transport/direct/announced.go
+++ b/transport/direct/announced.go
@@ -11,19 +11,19 @@
 	"goldcrestport/transport/callerconn"
 )
 
-// Reasons for which a request that was placed is not sent any more.
+// Reasons for not sending a request that was already placed.
 var (
-	errTooLate = errors.New("too late for a cold server")
+	errTooLate = errors.New("the send time for a cold server has passed")
 	errLeft    = errors.New("the server left")
-	errBackoff = errors.New("the server wants no requests for a time")
-	errOver    = errors.New("the time limit passed")
-	// errCallerLeft is of the caller, not of the server.
+	errBackoff = errors.New("the server requested a back-off")
+	errOver    = errors.New("the request's deadline passed")
+	// errCallerLeft concerns the caller, not the server.
 	errCallerLeft = errors.New("the caller left")
 )
 
-// mayBegin returns why the request must not be sent after all, or nil. Between the
-// decision and the first byte a connection is opened, and a flooded router runs other
-// requests: what became of the caller and the server meanwhile counts.
+// mayBegin returns why the request must not be sent, or nil. Opening a connection takes time
+// between the decision and the first byte, and a busy router runs other requests meanwhile, so
+// the states of the caller and the server are checked again.
 func (c *call) mayBegin(run *admission.Run, server roster.Server) error {
 	switch {
 	case c.left() <= 0:
@@ -35,7 +35,7 @@
 	}
 }
 
-// mayBegin returns why a request must not go to the server after all, or nil.
+// mayBegin returns why a request must not go to the server, or nil.
 func (r *Router) mayBegin(run *admission.Run, server roster.Server) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// headOf takes the head of an answer that arrived at the request's connection, and
-// reports whether it is the request's. One that is not was sent by the same process,
-// and what it says of itself holds all the same.
+// headOf processes the head of an answer that arrived on the request's connection and reports
+// whether it belongs to the request. One that does not was still sent by the same process, so
+// what it says about the server is valid.
 func (c *call) headOf(server roster.Server, status int, h http.Header) (own bool) {
 	if c.r.dialect.Own(h, c.meta.ID) {
 		return true
@@ -65,8 +65,8 @@
 	return false
 }
 
-// announced takes what an answer says of the server itself. The answer of another
-// server at its address says nothing of it.
+// announced processes what an answer says about the server itself. An answer of another server
+// at the same address says nothing about it.
 func (c *call) announced(server roster.Server, reply Reply) {
 	if reply.Invalid != "" {
 		c.r.invalidAnswer(server, reply.Invalid)
@@ -79,7 +79,7 @@
 	c.r.apply(c.r.roster.Announced(server.ID, server.Incarnation), "said_to", c.meta.ID)
 }
 
-// invalidAnswer notes that what a server said of itself cannot be read.
+// invalidAnswer records that a server sent information about itself that cannot be parsed.
 func (r *Router) invalidAnswer(server roster.Server, what string) {
 	r.metrics.invalidAnswers.Add(1)
 	if allowed, dropped := r.lines.Allow("invalid_answer", time.Now()); allowed {
@@ -87,8 +87,8 @@
 	}
 }
 
-// leavingServers returns the servers that told this router itself that they leave, for the
-// others. The caller holds mu.
+// leavingServers returns the servers that told this router directly that they are draining,
+// for gossip to the other routers. The caller holds mu.
 func (r *Router) leavingServers() []admission.ServerID {
 	var out []admission.ServerID
 	for _, one := range r.roster.Leaving() {
@@ -97,7 +97,7 @@
 	return out
 }
 
-// toldLeaving takes another router's word on servers that leave. The caller holds mu.
+// toldLeaving applies another router's message about draining servers. The caller holds mu.
 func (r *Router) toldLeaving(router string, servers []admission.ServerID) {
 	for _, number := range servers {
 		if id, incarnation, known := r.admission.ServerByNumber(number); known {
--- a/transport/direct/asked_test.go
+++ b/transport/direct/asked_test.go
@@ -12,8 +12,8 @@
 	"goldcrestport/coordination/fairshare"
 )
 
-// Guards against a flooding team that seems to ask for little, so that others may run
-// ahead of it: what is refused for lack of streams was asked for, too.
+// Guards against a flooding team whose demand seems small, so that other teams may exceed
+// their shares: requests refused for lack of streams count as demand, too.
 func TestARefusalForStreamsCountsAsAsked(t *testing.T) {
 	r := unserved(newBackend(t, "i-1", ok))
 	r.fresh.Confirm(bootTime())
--- a/transport/direct/backoff.go
+++ b/transport/direct/backoff.go
@@ -6,8 +6,8 @@
 	"goldcrestport/coordination/admission"
 )
 
-// backsOff notes that a server turned the request away and wants none of this router
-// for the time. The caller holds mu.
+// backsOff records that a server refused the request and requested that this router send none
+// for a time. The caller holds mu.
 func (r *Router) backsOff(now time.Time, run *admission.Run, after time.Duration, request string) {
 	r.metrics.backoffs.Add(1)
 	if !r.admission.BackoffRequested(now, run, after) {
@@ -19,8 +19,7 @@
 	}
 }
 
-// resumed notes that a server that had wanted no requests takes them again. The caller
-// holds mu.
+// resumed records that a server accepts requests again after a back-off. The caller holds mu.
 func (r *Router) resumed(now time.Time, run *admission.Run) {
 	if allowed, dropped := r.failures.Allow("backoff_ended", now); allowed {
 		lasted, times := r.admission.Backoff(run).Series(now)
--- a/transport/direct/backoff_test.go
+++ b/transport/direct/backoff_test.go
@@ -1,12 +1,12 @@
 package direct
 
-// What was seen: a backend server that had turned a router's request away and asked for
-// 3 s without requests got 6 from that router in the time. How it came about: three
-// engines of nine turned everything away for some seconds, and each router went on to ask
-// each of them about once a second. What caused it: the time that a refusal names was not
-// read, so that a server was left alone for 50 ms, doubled up to 1 s, and not even that
-// after another answer of it began. What proved it: one router shows it alone, with
-// refusals that name .8 s; read and kept apart from other answers, nothing is sent.
+// A backend server that refused a router's request and requested a back-off of 3 s received 6
+// requests from that router in that time. Three engines of nine refused everything for some
+// seconds, and each router retried each of them about once a second. The cause was that the
+// duration named in a refusal was not read: the server was left alone for only 50 ms, doubled
+// up to 1 s, and not even that after another answer of it started. One router with refusals
+// that name .8 s reproduces it; once the duration is read and kept apart from other answers,
+// nothing is sent.
 
 import (
 	"fmt"
@@ -20,12 +20,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// shedding is a server that turns requests away and says for how long, while it does.
+// shedding is a server that refuses requests and names a back-off while it sheds load.
 type shedding struct {
 	after  time.Duration
 	sound  atomic.Bool
 	status int
-	// notRun tells that it marks what it did not run.
+	// notRun tells that it marks requests that it did not run.
 	notRun bool
 }
 
@@ -42,9 +42,9 @@
 	return respond(w, req, s.status, headers, "")
 }
 
-// A server turns a request away and asks for .8 s without requests. It gets none in that
-// time, whoever calls, though it looks idle, and whatever other answers of it begin
-// meanwhile; it gets work again soon after.
+// A server refuses a request and requests a back-off of .8 s. It receives nothing in that
+// time, whoever calls, although it looks idle and whatever other answers of it start
+// meanwhile; it receives requests again soon after.
 func TestAServerThatAsksForNoRequestsGetsNone(t *testing.T) {
 	const after = 800 * time.Millisecond
 	for name, notRun := range map[string]bool{"that did not run": true, "that may have run": false} {
@@ -59,31 +59,32 @@
 				return sheds.answer(w, req)
 			})
 			f := start(t, testConfig(1), asks, newBackend(t, "i-2", slowly))
-			// An answer that begins while the server wants nothing takes nothing back.
+			// An answer that starts during the back-off does not end it.
 			go f.call("/stream/", "before")
 			f.waitFor("the stream did not reach the server", func() bool { return len(asks.runs()) == 1 })
 			f.callAtOnce(loadCallers)
-			f.waitFor("the server was asked by nobody", func() bool { return len(asks.runs()) > 1 })
+			f.waitFor("the server received no request", func() bool { return len(asks.runs()) > 1 })
 			time.Sleep(leavingBound)
 			before := len(asks.runs())
 			f.loadFor(after - 2*leavingBound)
 			f.Check(len(asks.runs())-before, qt.Equals, 0)
 			sheds.sound.Store(true)
 			f.loadFor(after)
-			f.Check(len(asks.runs()) > before, qt.IsTrue, qt.Commentf("the server gets no work"))
+			f.Check(len(asks.runs()) > before, qt.IsTrue, qt.Commentf("the server receives no requests"))
 		})
 	}
 }
 
-// callAtOnce sends so many requests at the same moment.
+// callAtOnce sends n requests at the same time.
 func (f *fixture) callAtOnce(n int) {
 	for i := range n {
 		go f.call("/safe/", fmt.Sprint("r", i))
 	}
 }
 
-// All servers of a service want no requests: callers are refused at once, without a
-// further try at any of them, and told when the first of them takes some again.
+// All servers of a service request a back-off: callers are refused at once, without a further
+// attempt at any server, and their Retry-After is when the first server accepts requests
+// again.
 func TestAllServersThatAskForNoRequestsGetNone(t *testing.T) {
 	long := &shedding{after: 2 * time.Second, status: http.StatusServiceUnavailable, notRun: true}
 	short := &shedding{after: time.Second, status: http.StatusServiceUnavailable, notRun: true}
@@ -96,7 +97,7 @@
 		f.Check(got.status, qt.Equals, http.StatusServiceUnavailable)
 		seconds, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		f.Assert(err, qt.IsNil)
-		f.Check(seconds >= left.Seconds() && seconds < left.Seconds()+.5, qt.IsTrue, qt.Commentf("come back in %v s, %v left", seconds, left))
+		f.Check(seconds >= left.Seconds() && seconds < left.Seconds()+.5, qt.IsTrue, qt.Commentf("Retry-After %v s, %v left", seconds, left))
 	}
 	f.Check(len(a.runs()) <= 1 && len(b.runs()) <= 1, qt.IsTrue, qt.Commentf("%d and %d runs", len(a.runs()), len(b.runs())))
 }
--- a/transport/direct/budget.go
+++ b/transport/direct/budget.go
@@ -6,7 +6,7 @@
 	"goldcrestport/coordination/repeats"
 )
 
-// countRequest earns the service's budget of repeats.
+// countRequest credits the service's retry budget for a new request.
 func (r *Router) countRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -23,7 +23,7 @@
 	return ok
 }
 
-// budget returns the service's budget. The caller holds mu.
+// budget returns the service's retry budget. The caller holds mu.
 func (r *Router) budget(service string) *repeats.Budget {
 	b := r.budgets[service]
 	if b == nil {
--- a/transport/direct/callers.go
+++ b/transport/direct/callers.go
@@ -9,10 +9,10 @@
 	"goldcrestport/transport/callerconn"
 )
 
-// conn is the connection of the call, or nil.
+// conn returns the connection of the call, or nil.
 func (c *call) conn() net.Conn { return callerconn.Of(c.req.Context()) }
 
-// from returns the caller's address, or none.
+// from returns the caller's address, or the zero address if it is unknown.
 func (c *call) from() netip.Addr {
 	if conn := c.conn(); conn != nil {
 		return callerconn.AddressOf(conn.RemoteAddr())
@@ -23,8 +23,8 @@
 // isSwept reports whether this router closed the call's connection as idle.
 func (c *call) isSwept() bool { return c.r.callers.Swept(c.conn()) }
 
-// keepAlive tells the caller how long its connection may stay idle when there
-// are many. It is to be called for every answer.
+// keepAlive announces to the caller how long its connection may stay idle when there are many
+// connections. It must be called for every answer.
 func (c *call) keepAlive() {
 	short := c.r.crowded()
 	if short {
@@ -33,18 +33,18 @@
 	c.r.callers.Told(c.conn(), short)
 }
 
-// leftLate is the mean lateness from which a router looks whether a caller has
-// left before it sends a request on: at rest the runtime tells in time. It looks
-// at the first request of a connection in any case, which may have waited long
-// for a place.
+// leftLate is the mean read lateness from which the router checks whether a caller has
+// disconnected before it sends a request on; below it the runtime reports the disconnection in
+// time. The first request of a connection is always checked, as it may have waited long to be
+// accepted.
 const leftLate = 8 * time.Millisecond
 
-// isLate reports whether the router reads so late that callers may have left
+// isLate reports whether the router reads so late that callers may have disconnected
 // unnoticed.
 func (r *Router) isLate() bool { return time.Duration(r.load.late.Load()) >= leftLate }
 
-// hasLeft reports whether the caller closed its connection while its request
-// lay unread.
+// hasLeft reports whether the caller closed its connection while its request waited unread in
+// the socket buffer.
 func (c *call) hasLeft() bool {
 	if !c.r.isLate() && !c.r.callers.IsFirst(c.conn()) {
 		return false
--- a/transport/direct/callers_test.go
+++ b/transport/direct/callers_test.go
@@ -17,7 +17,7 @@
 	"goldcrestport/protocol/settings"
 )
 
-// holding is a backend server that holds requests until it is told to answer.
+// holding is a backend server that does not answer requests until it is told to.
 type holding struct {
 	server  *backendServer
 	running atomic.Int64
@@ -25,7 +25,8 @@
 	replies chan reply
 }
 
-// startHolding runs a router with so many places for connections before it.
+// startHolding runs a router with the given maximum number of callers' connections and a
+// holding server.
 func startHolding(t *testing.T, places int) (*fixture, *holding) {
 	h := &holding{release: make(chan struct{}), replies: make(chan reply, places)}
 	h.server = newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool {
@@ -39,7 +40,7 @@
 	return f, h
 }
 
-// fill takes every place with a request that is held.
+// fill occupies every connection with a pending request.
 func (h *holding) fill(f *fixture, places int) {
 	for i := range places {
 		go func() { h.replies <- f.call("/safe/held", fmt.Sprint("held", i)) }()
@@ -49,7 +50,7 @@
 	}
 }
 
-// empty answers what is held.
+// empty lets the server answer the pending requests.
 func (h *holding) empty(f *fixture, places int) {
 	close(h.release)
 	for range places {
@@ -57,8 +58,8 @@
 	}
 }
 
-// An answer on a crowded router names a short life, and the next one, which names none,
-// takes it back, or the connection's end.
+// An answer on a crowded router announces a short idle timeout; the next one, which announces
+// none, revokes it, or the connection ends.
 func TestAnAnswerTakesAShortLifeBack(t *testing.T) {
 	f := startWith(t, testConfig(1), func(set *settings.Direct, _ *testSource) { set.Callers.Connections = 8 }, newBackend(t, "i-1", ok))
 	conn, err := net.Dial("tcp", f.set.Listen.Callers)
@@ -94,9 +95,9 @@
 	f.Check(f.router.callers.ShortLived(), qt.Equals, 0)
 }
 
-// Callers who hold every place with idle connections, or with ones on which
-// they never sent anything, keep no new caller out; a router whose places are
-// all in use says that it is not ready.
+// Callers who occupy every connection with idle ones, or with ones on which they never sent
+// anything, keep no new caller out; a router whose connections are all in use reports that it
+// is not ready.
 func TestAFullRouterMakesRoomOrIsNotReady(t *testing.T) {
 	const places = 8
 	f, h := startHolding(t, places)
@@ -116,12 +117,12 @@
 	h.fill(f, places)
 	f.Check(f.ready(), qt.Equals, http.StatusServiceUnavailable)
 	h.empty(f, places)
-	// The callers' connections end a moment after their answers.
+	// The callers' connections end shortly after their answers.
 	f.waitReady()
 }
 
-// A caller that ends its side of the connection counts as gone; it must not read
-// an empty success for a request whose run was cancelled.
+// A caller that closes its side of the connection counts as disconnected; it must not read an
+// empty success for a request whose run was cancelled.
 func TestACallerThatEndsItsSideGetsNoEmptySuccess(t *testing.T) {
 	b := newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool {
 		time.Sleep(300 * time.Millisecond)
@@ -139,9 +140,9 @@
 	f.Check(string(answer), qt.Equals, "")
 }
 
-// A caller that waited for a place and left meanwhile: its request is read when
-// a place is free, and it is not sent on, though the router is not late (GONE on
-// plgc-port-grown: a flood held every place of a small router).
+// A caller waits for its connection to be accepted and disconnects meanwhile: its request is
+// read once a connection is free and must not be sent on, even though the router is not late.
+// It happened when a flood occupied every connection of a small router.
 func TestWhoLeftWhileWaitingForAPlaceIsNotServed(t *testing.T) {
 	const places = 4
 	f, h := startHolding(t, places)
--- a/transport/direct/changes.go
+++ b/transport/direct/changes.go
@@ -14,44 +14,40 @@
 	"goldcrestport/transport/link"
 )
 
-// known returns the revision up to which this router knows everything; 0: it
-// must read everything.
+// known returns the revision up to which this router is complete; 0 means that it must read
+// everything.
 func (r *Router) known() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.mirror.Revision()
 }
 
-// changesCall is the call by which a router asks another one for what the
-// store holds.
+// changesCall is the RPC by which a router asks a peer for its mirror of the store.
 const changesCall = "/goldcrest.Direct/Changes"
 
-// changesRequest is what the asking router has.
+// changesRequest describes what the asking router has.
 type changesRequest struct {
 	// Revision that the answer must have reached.
 	Revision uint64 `json:"revision"`
-	// Version of its configuration; an older or the same one is not sent.
+	// Version of its configuration; an older or equal one is not sent.
 	Version uint64 `json:"version"`
-	// Have is the revision up to which it knows everything; 0: it knows
-	// nothing.
+	// Have is the revision up to which it is complete; 0 means that it has nothing.
 	Have uint64 `json:"have"`
-	// Packs tells that it takes packed answers.
+	// Packs tells that it accepts packed answers.
 	Packs bool `json:"packs,omitempty"`
 }
 
-// changesAnswer is what the asked router has: what changed after the revision
-// that the asking one has, or everything.
+// changesAnswer holds the changes after the asking router's revision, or a whole snapshot.
 type changesAnswer struct {
 	Changes *mirror.Delta    `json:"changes,omitempty"`
 	Whole   *mirror.Snapshot `json:"whole,omitempty"`
-	// Settling tells that servers may be missing only because the store was
-	// away.
+	// Settling tells that servers may be missing only because the store was unavailable.
 	Settling bool `json:"settling,omitempty"`
-	// Packed is the answer itself, in place of the other fields.
+	// Packed is the encoded answer, in place of the other fields.
 	Packed []byte `json:"packed,omitempty"`
 }
 
-// revision up to which the answer tells everything.
+// revision returns the revision up to which the answer is complete.
 func (a *changesAnswer) revision() uint64 {
 	switch {
 	case a.Changes != nil:
@@ -63,13 +59,13 @@
 	}
 }
 
-// errBehind means that the asked router does not know the revision itself.
-var errBehind = errors.New("the revision is not known here")
+// errBehind means that the asked router has not reached the revision itself.
+var errBehind = errors.New("this router has not reached the revision")
 
 // HandleRPC implements drpc.Handler: it answers other routers.
 func (r *Router) HandleRPC(stream drpc.Stream, rpc string) error {
 	if rpc != changesCall {
-		return errors.Newf("unknown call %s", rpc)
+		return errors.Newf("unknown RPC %s", rpc)
 	}
 	var want changesRequest
 	if err := stream.MsgRecv(&want, link.Records{}); err != nil {
@@ -87,7 +83,7 @@
 	return stream.MsgSend(have, link.Records{})
 }
 
-// mirrored returns what this router has of the store for another one.
+// mirrored returns this router's mirror of the store for another router.
 func (r *Router) mirrored(want changesRequest) (*changesAnswer, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,17 +107,17 @@
 	return answer, nil
 }
 
-// peerCallTimeout bounds a call of another router: some milliseconds are usual.
+// peerCallTimeout bounds a call to another router, which usually takes a few milliseconds.
 const peerCallTimeout = 300 * time.Millisecond
 
-// askPeer takes what another router has that vouched for a revision.
+// askPeer fetches the state of the router that confirmed the pending revision as current.
 func (f *follower) askPeer(ctx context.Context) error {
 	r := f.r
 	r.mu.Lock()
 	address, want := r.peers[r.pending.router].Address, changesRequest{Revision: r.pending.revision, Have: r.mirror.Revision()}
 	r.mu.Unlock()
 	if want.Revision == 0 {
-		// What others vouched for is known here by now.
+		// The pending revision has been reached meanwhile.
 		return nil
 	}
 	if t := r.table.Load(); t != nil {
@@ -133,8 +129,8 @@
 	return f.takeFrom(ctx, address, want)
 }
 
-// askSeeds takes what a seed has, when this router began without the store. It
-// says nothing about what is the newest.
+// askSeeds fetches the state of a seed when this router started while the store was
+// unavailable. It does not confirm that the state is current.
 func (f *follower) askSeeds(ctx context.Context) {
 	for _, seed := range f.r.set.Seeds {
 		if seed == f.r.set.Listen.Seeds {
@@ -147,7 +143,7 @@
 	}
 }
 
-// takeFrom takes what the router at the address has.
+// takeFrom fetches and applies the state of the router at the address.
 func (f *follower) takeFrom(ctx context.Context, address string, want changesRequest) error {
 	r := f.r
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
@@ -175,7 +171,7 @@
 	r.mu.Lock()
 	r.reached()
 	r.mu.Unlock()
-	// What the other router has is whole, as a reading of the store's is.
+	// The other router's state is complete, as if it were read from the store.
 	f.loaded = time.Now()
 	return nil
 }
--- a/transport/direct/cold_test.go
+++ b/transport/direct/cold_test.go
@@ -13,9 +13,8 @@
 	"goldcrestport/protocol/settings"
 )
 
-// A server that joins cold gets no more than its rate, and all the rest goes to the
-// warm one; without a warm one callers are refused at once and told when to come
-// back.
+// A server that joins cold receives no more than its rate, and the rest goes to the warm
+// server; without a warm one callers are refused at once with a Retry-After.
 func TestAColdServerGetsNoMoreThanItBears(t *testing.T) {
 	cold, warm := newBackend(t, "i-cold", ok), newBackend(t, "i-warm", ok)
 	c := testConfig(1)
@@ -46,9 +45,8 @@
 	f.Fatal("nothing was refused")
 }
 
-// A data centre's servers are presumed to be cold after its evacuation, though their
-// entries do not say so yet; a router whose registration may have ended sends them
-// nothing.
+// After the evacuation of a data centre its servers are presumed cold, although their entries
+// do not say so yet; a router whose registration may have ended sends them nothing.
 func TestAReturningDataCentreIsPresumedCold(t *testing.T) {
 	east := newBackend(t, "i-east", ok)
 	c := testConfig(1)
@@ -67,7 +65,7 @@
 	f.waitFor("the server stays cold", func() bool { return f.call("/safe/", "r2").status == http.StatusOK })
 }
 
-// settle lets the router take part in the rate of cold servers at once.
+// settle lets the router use its share of the rate for cold servers at once.
 func (f *fixture) settle() {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
--- a/transport/direct/crash_test.go
+++ b/transport/direct/crash_test.go
@@ -1,14 +1,12 @@
 package direct
 
-// What was seen: one caller's request came again and again, at any router, and each
-// backend server ended some ten milliseconds after it had begun it: 16 engines in
-// 12 s, with everything that ran there. How it came about: the first three ends were
-// nobody's fault; from the fourth on the fleet could have known. What caused it: each
-// attempt was new to the router that got it, no router remembered under which
-// requests servers had ended, and none told the others. What proved it: lines that
-// name the content of a request had the same one at every server that ended, with
-// sent=1, so that no repeat of a router's carried it on; no other content stood at
-// more than two of them.
+// One caller's request was sent again and again to any router, and each backend server crashed
+// some ten milliseconds after starting it: 16 engines in 12 s, with everything that ran there.
+// The first three crashes could not be prevented; from the fourth on the fleet could have
+// known the cause. Each attempt was new to the router that received it, no router remembered
+// under which requests servers had crashed, and none informed the others. Log lines with the
+// fingerprint of a request showed the same one at every server that crashed, with sent=1, so
+// that no router's retry spread it; no other fingerprint ran on more than two of them.
 
 import (
 	"encoding/json"
@@ -30,31 +28,32 @@
 	"goldcrestport/protocol/settings"
 )
 
-// Figures of the promise: a request under which three servers ended is sent at most
-// three times more from when routers in touch have had time to hear of it.
+// A request under which three servers crashed is sent at most three times more, counted from
+// when connected routers have had time to receive the reports.
 const (
 	crashesToKnow = 3
 	furtherSends  = 3
 	contactTime   = 3 * time.Second
 )
 
-// crashBody is the body of the request that ends each server that begins it.
+// crashBody is the body of the request that crashes each server that starts it.
 const crashBody = "crash"
 
-// soundBody is that of one that any server runs well; the servers tell them apart by
-// their lengths.
+// soundBody is the body of a request that any server runs without fault; the servers tell the
+// two apart by their lengths.
 const soundBody = "no crash"
 
-// crashWay plays how a server ends under the request. It returns when it is gone.
+// crashWay simulates how a server crashes under the request. It returns when the server is
+// gone.
 type crashWay func(w io.Writer, req *http.Request)
 
-// afterTheHead: the answer begins, and no event follows.
+// afterTheHead: the answer starts, and no event follows.
 func afterTheHead(w io.Writer, _ *http.Request) {
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: m\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", testMark)
 	time.Sleep(20 * time.Millisecond)
 }
 
-// atOnce: the server ends before it says anything.
+// atOnce: the server crashes before it sends anything.
 func atOnce(io.Writer, *http.Request) { time.Sleep(10 * time.Millisecond) }
 
 // inTheMiddle: the answer breaks off after two events.
@@ -68,25 +67,25 @@
 	time.Sleep(10 * time.Millisecond)
 }
 
-// afterTheAnswer: the answer is whole, and then the server ends.
+// afterTheAnswer: the answer is whole, and then the server crashes.
 func afterTheAnswer(w io.Writer, req *http.Request) {
 	ok(w, req)
 	time.Sleep(20 * time.Millisecond)
 }
 
-// itsConnectionFirst: the request's connection ends a moment before the process does.
+// itsConnectionFirst: the request's connection ends shortly before the process does.
 func itsConnectionFirst(w io.Writer, req *http.Request) {
 	inTheMiddle(w, req)
 	_ = w.(net.Conn).Close()
 	time.Sleep(5 * time.Millisecond)
 }
 
-// fleet is some routers that exchange, before servers that crash.
+// fleet is a number of connected routers with backend servers that can crash.
 type fleet struct {
 	t       *testing.T
 	routers []*fixture
 	way     crashWay
-	// down is how long a server is away.
+	// down is how long a crashed server is unavailable.
 	down time.Duration
 
 	mu       sync.Mutex
@@ -110,7 +109,7 @@
 	return !c.gone
 }
 
-// crash ends the server with all its connections. It reports whether it lived.
+// crash ends the server with all its connections. It reports whether it was running.
 func (c *crashable) crash() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,7 +141,7 @@
 	return f
 }
 
-// begin starts a new incarnation of the server and makes it known.
+// begin starts a new incarnation of the server and registers it.
 func (f *fleet) begin(id string) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(f.t, err, qt.IsNil)
@@ -172,7 +171,7 @@
 	}
 }
 
-// run plays a request at a server.
+// run simulates a request at a server.
 func (f *fleet) run(c *crashable, id string, w io.Writer, req *http.Request) bool {
 	if req.ContentLength != int64(len(crashBody)) {
 		return events(w, req, 4, 30*time.Millisecond, false)
@@ -190,8 +189,8 @@
 	return false
 }
 
-// known is when three servers had ended and routers had time to hear of it; zero
-// before.
+// known returns when three servers had crashed and the routers had time to receive the
+// reports; zero before.
 func (f *fleet) known() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,7 +200,7 @@
 	return f.crashes[crashesToKnow-1].Add(contactTime)
 }
 
-// late counts the arrivals after the moment.
+// late counts the arrivals after the given time.
 func (f *fleet) late(from time.Time) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -213,35 +212,34 @@
 	return n
 }
 
-// count is the number of arrivals.
+// count returns the number of arrivals.
 func (f *fleet) count() int { return f.late(time.Time{}) }
 
-// insist sends the request at the routers by turns, as a new attempt each time, until
-// the fleet has had time to know it and a while longer. It returns the last answer.
+// insist sends the request to the routers in turn, as a new attempt each time, until the fleet
+// has had time to quarantine it and for the given time longer. It returns the last answer.
 func (f *fleet) insist(path string, every, longer time.Duration) (last reply) {
 	for i := 0; ; i++ {
 		if known := f.known(); !known.IsZero() && time.Now().After(known.Add(longer)) {
 			return last
 		}
 		if i > 2000 {
-			f.t.Fatal("three servers never ended")
+			f.t.Fatal("three servers never crashed")
 		}
 		last = f.routers[i%len(f.routers)].send(path, fmt.Sprintf("crash-%d", i), crashBody)
 		time.Sleep(every)
 	}
 }
 
-// The incident: a stream that ends each server that begins it, sent again and again
-// at three routers.
+// A stream that crashes each server that starts it is sent again and again to three routers.
 func TestARequestThatCrashesServersReachesFewMore(t *testing.T) {
 	f := startFleet(t, 3, 6, afterTheHead)
 	f.insist("/stream/a", 40*time.Millisecond, 1500*time.Millisecond)
-	qt.Check(t, f.late(f.known()) <= furtherSends, qt.IsTrue, qt.Commentf("%d sends beyond the third crash, %d servers ended", f.late(f.known()), len(f.crashes)))
+	qt.Check(t, f.late(f.known()) <= furtherSends, qt.IsTrue, qt.Commentf("%d sends beyond the third crash, %d servers crashed", f.late(f.known()), len(f.crashes)))
 }
 
-// However the server ends under it and whatever kind of request it is, its last
-// attempts get a final answer that says that they have not run, at once and with no
-// time to come back; what runs beside it is served in the end.
+// However the server crashes under it and whatever kind of request it is, its last attempts
+// get a final answer that says that they have not run, at once and without a Retry-After;
+// other requests running on the servers are served in the end.
 func TestEveryKindOfRequestThatCrashesServersIsRefused(t *testing.T) {
 	for name, c := range map[string]struct {
 		path string
@@ -256,7 +254,7 @@
 		"idempotent, afterwards":    {"/safe/a", afterTheAnswer},
 		"once, at once":             {"/once/a", atOnce},
 		"once, afterwards":          {"/once/a", afterTheAnswer},
-		// Guards against a crash that is missed as the server took connections yet.
+		// Guards against a crash that is missed because the server still accepted connections.
 		"stream, its connection first":     {"/stream/a", itsConnectionFirst},
 		"resumable, its connection first":  {"/resume/a", itsConnectionFirst},
 		"idempotent, its connection first": {"/safe/a", itsConnectionFirst},
@@ -266,7 +264,7 @@
 			t.Parallel()
 			f := startFleet(t, 3, 5, c.way)
 			last := f.insist(c.path, 60*time.Millisecond, time.Second)
-			qt.Check(t, f.late(f.known()) <= furtherSends, qt.IsTrue, qt.Commentf("%d sends beyond the third crash, %d servers ended", f.late(f.known()), len(f.crashes)))
+			qt.Check(t, f.late(f.known()) <= furtherSends, qt.IsTrue, qt.Commentf("%d sends beyond the third crash, %d servers crashed", f.late(f.known()), len(f.crashes)))
 			qt.Check(t, last.status, qt.Equals, http.StatusBadRequest)
 			qt.Check(t, last.header.Get("Retry-After"), qt.Equals, "")
 			qt.Check(t, last.header.Get(outcome.Header), qt.Equals, string(outcome.NotRun))
@@ -277,7 +275,7 @@
 	}
 }
 
-// Callers send copies at several routers at one moment, before anybody knows.
+// Callers send copies to several routers at the same time, before any router has reports.
 func TestCopiesAtOneMomentAreFewAfterwards(t *testing.T) {
 	f := startFleet(t, 3, 9, afterTheHead)
 	send := func(round int) {
@@ -297,11 +295,11 @@
 		send(100 + round)
 		time.Sleep(500 * time.Millisecond)
 	}
-	qt.Check(t, f.late(f.known()) <= furtherSends, qt.IsTrue, qt.Commentf("%d sends beyond the third crash, %d servers ended", f.late(f.known()), len(f.crashes)))
+	qt.Check(t, f.late(f.known()) <= furtherSends, qt.IsTrue, qt.Commentf("%d sends beyond the third crash, %d servers crashed", f.late(f.known()), len(f.crashes)))
 }
 
-// A router that starts after the crashes hears of them from the others, and an
-// operator's word at one router frees the request at all.
+// A router that starts after the crashes learns of them from the other routers, and an
+// operator's release at one router clears the request at all of them.
 func TestARouterThatStartsLaterKnowsWhatIsRefused(t *testing.T) {
 	f := startFleet(t, 2, 5, afterTheHead)
 	f.insist("/stream/a", 40*time.Millisecond, 0)
@@ -311,7 +309,7 @@
 		one.meet(late)
 		late.meet(one)
 	}
-	late.waitFor("the later router did not hear of it", func() bool { return late.router.inQuarantine((*quarantine.State).RefusedCount) == 1 })
+	late.waitFor("the later router did not receive the reports", func() bool { return late.router.inQuarantine((*quarantine.State).RefusedCount) == 1 })
 	late.Check(late.send("/stream/a", "x", crashBody).status, qt.Equals, http.StatusBadRequest)
 	late.Check(f.count(), qt.Equals, began)
 
@@ -327,9 +325,9 @@
 		}
 		return all
 	}
-	late.waitFor("nobody entered it in the store", func() bool { return len(kept()) == 1 })
+	late.waitFor("no router entered it in the store", func() bool { return len(kept()) == 1 })
 
-	// All routers are lost; one that begins reads it in the store.
+	// All routers are lost; a new one reads the refused request from the store.
 	alone := startWith(t, testConfig(1), func(_ *settings.Direct, s *testSource) { s.now.Refused = kept() })
 	alone.waitFor("it was not read", func() bool { return alone.router.inQuarantine((*quarantine.State).RefusedCount) == 1 })
 	alone.Check(alone.send("/stream/a", "y", crashBody).status, qt.Equals, http.StatusBadRequest)
--- a/transport/direct/crashes.go
+++ b/transport/direct/crashes.go
@@ -21,13 +21,12 @@
 	"goldcrestport/transport/probe"
 )
 
-// suspectReturn is when to come back while another attempt of the same request is
-// at a server and servers crashed under earlier ones: about as long as a short
-// answer takes.
+// suspectReturn is the Retry-After while another attempt of the same request is at a server
+// and servers crashed under earlier ones: about the duration of a short answer.
 const suspectReturn = 500 * time.Millisecond
 
-// endQuarantined ends the request if servers crash under it, or may do so. It reports
-// whether it did.
+// endQuarantined ends the request if servers crash under it, or may do so. It reports whether
+// it did.
 func (c *call) endQuarantined() bool {
 	c.r.mu.Lock()
 	verdict := c.r.quarantine.Check(time.Now(), c.content)
@@ -39,17 +38,17 @@
 	case c.begun:
 		c.cut("quarantined")
 	case c.reached > 0:
-		c.fail(outcome.ReasonAnswerLost, http.StatusBadGateway, "the backend server ended while it ran the request")
+		c.fail(outcome.ReasonAnswerLost, http.StatusBadGateway, "the backend server crashed while it ran the request")
 	case verdict == quarantine.Wait:
-		c.refuse(*notRun(outcome.ReasonSuspect, suspectReturn, "another attempt of this request is at work, and backend servers ended under earlier ones"))
+		c.refuse(*notRun(outcome.ReasonSuspect, suspectReturn, "another attempt of this request is running, and backend servers crashed under earlier ones"))
 	default:
-		// A status that callers do not repeat: it would end the same way.
-		c.refuse(outcome.Refuse(outcome.ReasonCrashes, http.StatusBadRequest, 0, "backend servers ended under each earlier attempt of this request; it has not run this time"))
+		// A status that callers do not retry: a retry would end the same way.
+		c.refuse(outcome.Refuse(outcome.ReasonCrashes, http.StatusBadRequest, 0, "backend servers crashed under each earlier attempt of this request; it has not run this time"))
 	}
 	return true
 }
 
-// sendBegins notes that the request goes to the server.
+// sendBegins records that the request is being sent to the server.
 func (r *Router) sendBegins(content quarantine.Fingerprint, server roster.Server) *quarantine.Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,8 +61,8 @@
 	r.quarantine.End(time.Now(), run, how)
 }
 
-// ended notes how the send ended. When its answer broke off it returns after the
-// look at the server.
+// ended records how the send ended. If its answer broke off, it returns after the server was
+// probed.
 func (c *call) ended(sent *quarantine.Run, server roster.Server, how quarantine.Ending) {
 	c.r.sendEnded(sent, how)
 	if how == quarantine.Broken {
@@ -71,8 +70,8 @@
 	}
 }
 
-// mayCarryOn reports whether the router may send the request to a further server
-// after it has arrived at one.
+// mayCarryOn reports whether the router may send the request to another server after it has
+// arrived at one.
 func (c *call) mayCarryOn() bool {
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
@@ -82,7 +81,7 @@
 // errAnswered marks the failure of a server that gave its whole answer.
 var errAnswered = errors.New("the server answered")
 
-// endingOf tells how a run ended whose answer was passed on, or not.
+// endingOf returns how a run ended, from what became of its answer.
 func endingOf(ctx context.Context, next step, result health.Result, err error) quarantine.Ending {
 	switch {
 	case next == done && result != health.NoResult, errors.Is(err, errAnswered):
@@ -94,15 +93,15 @@
 	}
 }
 
-// connectionEnded reports whether the error is the end of a connection or an answer, or of the
-// way to the server, and not bytes that are no answer.
+// connectionEnded reports whether the error is the end of a connection or an answer, or a
+// network fault, as opposed to bytes that are not a valid answer.
 func connectionEnded(err error) bool {
 	var network net.Error
 	return errors.Is(err, errNotWhole) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, backend.ErrStalled) || errors.As(err, &network)
 }
 
-// probes are the looks at servers under which answers broke off: one for all that
-// broke off there at a moment.
+// probes are the probes under way of servers whose answers broke off: one probe serves all
+// answers that broke off at a server at the same time.
 type probes struct {
 	mu   sync.Mutex
 	open map[string]chan struct{}
@@ -110,8 +109,7 @@
 
 func newProbes() *probes { return &probes{open: make(map[string]chan struct{})} }
 
-// join returns the look at the server that is under way, and whether the caller is
-// to take it.
+// join returns the probe of the server that is under way, and whether the caller must run it.
 func (p *probes) join(server string) (ended chan struct{}, mine bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,11 +128,10 @@
 	delete(p.open, server)
 }
 
-// lookAfterBreak asks whether the server under which an answer broke off still
-// takes connections: one that crashed refuses them, one that is alive was cut off
-// on the way, and a silent one is left to the store's word. It returns when that is
-// known, so that what follows goes by it, after the pool's bound for opening a
-// connection at the latest.
+// lookAfterBreak probes whether a server whose answer broke off still accepts connections: a
+// crashed one refuses them, a running one was disconnected on the way, and for one that does
+// not respond the store's entry decides. It returns once the result is known, so that what
+// follows can use it, and at the latest after the pool's timeout for opening a connection.
 func (r *Router) lookAfterBreak(server roster.Server) {
 	identity := server.Identity()
 	ended, mine := r.probes.join(identity)
@@ -155,8 +152,8 @@
 
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// crashed notes that the server takes no connections. One that announced that it
-// leaves, or whose entry is gone, has ended as it should.
+// crashed records that the server refuses connections. One that announced its shutdown, or
+// whose entry is gone, has ended as it should.
 func (r *Router) crashed(server roster.Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -168,8 +165,8 @@
 	r.noteQuarantine()
 }
 
-// gone notes that a server has no entry any more, or that a later incarnation has
-// its id: it ended without having said that it leaves. The caller holds mu.
+// gone records that a server's entry was removed, or that a later incarnation has its id,
+// without the server having announced its shutdown. The caller holds mu.
 func (r *Router) gone(change roster.Change) {
 	switch change.Reason {
 	case roster.ReasonRestarted:
@@ -180,8 +177,8 @@
 	r.noteQuarantine()
 }
 
-// noteQuarantine writes what changed, counts it and wakes the teller. The caller
-// holds mu.
+// noteQuarantine logs and counts quarantine events and wakes the sender of crash reports. The
+// caller holds mu.
 func (r *Router) noteQuarantine() {
 	for _, e := range r.quarantine.Events() {
 		switch e.Kind {
@@ -207,11 +204,11 @@
 	}
 }
 
-// strikeTime writes times of crashes, in UTC.
+// strikeTime is the format of crash times, in UTC.
 const strikeTime = "15:04:05.000"
 
-// writeStrikes lists the servers that crashed, when, and who said that the request
-// ran there.
+// writeStrikes lists the servers that crashed, when, and which routers reported that the
+// request ran there.
 func writeStrikes(strikes []quarantine.Strike) (servers, times, told string) {
 	var s, t, by []string
 	for _, one := range strikes {
--- a/transport/direct/cut_test.go
+++ b/transport/direct/cut_test.go
@@ -12,8 +12,8 @@
 	"goldcrestport/protocol/digest"
 )
 
-// outage is a router that the store does not answer, told by another one, step by
-// step.
+// outage is a router that gets no answer from the store but messages from another router,
+// controlled step by step.
 type outage struct {
 	*fixture
 	follower *follower
@@ -26,12 +26,12 @@
 	return &outage{fixture: f, follower: &follower{r: f.router}}
 }
 
-// lose lets one call of the store fail.
+// lose lets one call to the store fail.
 func (o *outage) lose() {
 	o.follower.storeLost(errors.New("no answer"))
 }
 
-// vouch lets another router tell that the store answered it after this one's last
+// vouch sends another router's message that the store answered it after this router's last
 // message.
 func (o *outage) vouch() {
 	o.router.mu.Lock()
@@ -42,16 +42,17 @@
 	o.router.hear(digest.Message{Router: "other", Seq: o.seq, Heard: o.seq, Revision: revision})
 }
 
-// remove takes the server's entry away.
+// remove deletes the server's entry.
 func (o *outage) remove() {
 	o.router.update(mirror.Delta{Removed: []string{"i-1"}, Revision: o.router.known() + 1})
 }
 
 func (o *outage) uses() bool { _, known := o.router.server("i-1"); return known }
 
-// A router is cut off alone and has much to do when it is back, so that it hears from
-// the store itself seconds later. Others told it meanwhile that the store answers
-// them: a server whose entry is gone by then has left, and gets nothing more.
+// A router alone is partitioned from the store and is saturated when it is reconnected, so
+// that its own answer from the store comes seconds later. Other routers reported meanwhile
+// that the store answers them: a server whose entry is gone by then has shut down and must
+// receive nothing more.
 func TestWhatLeftAfterOthersReachedTheStoreIsGone(t *testing.T) {
 	o := startOutage(t)
 	o.lose()
@@ -62,8 +63,8 @@
 	o.Check(o.uses(), qt.IsFalse)
 }
 
-// The store is away for all: entries that are gone may have lapsed, also when others
-// had told before, and shortly after its return.
+// The store is unavailable to all routers: entries that are gone may have lapsed, also if
+// other routers had sent confirmations before, and shortly after the store's return.
 func TestWhatIsMissingInAnOutageOfTheStoreIsKept(t *testing.T) {
 	o := startOutage(t)
 	o.lose()
--- a/transport/direct/direct_test.go
+++ b/transport/direct/direct_test.go
@@ -71,8 +71,8 @@
 	f.Check(b.runs(), qt.DeepEquals, []string{"d"})
 }
 
-// A key that was taken away stops working also at a router that cannot reach
-// the store: within the bound, it refuses every key. Public routes go on.
+// A revoked key stops working also at a router that cannot reach the store: within the
+// freshness bound, it refuses every key. Public routes keep working.
 func TestKeysNeedKnowledgeThatIsFresh(t *testing.T) {
 	f := start(t, testConfig(1), newBackend(t, "i-1", ok))
 	f.Check(f.call("/keyed/", "a", testKey, "key").status, qt.Equals, http.StatusOK)
@@ -81,7 +81,7 @@
 	got := f.call("/keyed/", "b", testKey, "key")
 	f.Check(got.status, qt.Equals, http.StatusServiceUnavailable)
 	f.Check(got.header.Get("Retry-After"), qt.Not(qt.Equals), "")
-	// What may be known by now is not denied.
+	// A key or route that a newer configuration may have is not denied.
 	f.Check(f.call("/keyed/", "c", testKey, "new").status, qt.Equals, http.StatusServiceUnavailable)
 	f.Check(f.call("/nowhere/", "d").status, qt.Equals, http.StatusServiceUnavailable)
 	f.Check(f.call("/safe/", "e").status, qt.Equals, http.StatusOK)
@@ -91,8 +91,8 @@
 	f.Check(f.call("/keyed/", "f", testKey, "key").status, qt.Equals, http.StatusOK)
 }
 
-// A request whose server fails when the configuration is not known to be fresh
-// any more is not sent again, and ends at once.
+// A request whose server fails when the configuration is no longer known to be current is not
+// retried, and ends at once.
 func TestNothingIsRepeatedOnOldKnowledge(t *testing.T) {
 	slow := func(io.Writer, *http.Request) bool {
 		time.Sleep(600 * time.Millisecond)
@@ -129,9 +129,8 @@
 	f.Fatalf("no %d from %s", want, path)
 }
 
-// A request that may run once is sent to another server only when the first
-// one certainly did not run it; otherwise its outcome is unknown, and no
-// refusal.
+// A request that may run only once is sent to another server only if the first one certainly
+// did not run it; otherwise its outcome is unknown, which is not a refusal.
 func TestARequestThatMayRunOnceRunsOnce(t *testing.T) {
 	for name, tc := range map[string]struct {
 		run  func(w io.Writer, req *http.Request) bool
@@ -163,8 +162,8 @@
 	}
 }
 
-// An idempotent request whose answer breaks off is repeated, and the caller
-// gets the whole answer of one run.
+// An idempotent request whose answer breaks off is retried, and the caller gets the whole
+// answer of one run.
 func TestABrokenAnswerIsRepeatedWhole(t *testing.T) {
 	for _, head := range []string{"Content-Length: 9\r\n", "", "Transfer-Encoding: chunked\r\n"} {
 		var once sync.Once
@@ -206,8 +205,8 @@
 	return b.String()
 }
 
-// A stream that may not run again is visibly cut when its server breaks off;
-// one that may goes on at another server after the last whole event.
+// A stream that may not run again is visibly cut when its server breaks it off; one that may
+// continues at another server after the last whole event.
 func TestABrokenStream(t *testing.T) {
 	run := func(w io.Writer, req *http.Request) bool {
 		if req.Header.Get(testLast) == "" {
@@ -226,8 +225,8 @@
 	f.Check(len(a.runs())+len(b.runs()), qt.Equals, 3)
 }
 
-// The final answer comes at the route's timeout, and the server is told less
-// time than the caller has left.
+// The final answer comes at the route's timeout, and the time that the server is given is
+// shorter than the caller's.
 func TestTheFinalAnswerComesAtTheTimeout(t *testing.T) {
 	f := start(t, testConfig(1), newBackend(t, "i-1", func(io.Writer, *http.Request) bool {
 		time.Sleep(time.Second)
@@ -240,7 +239,7 @@
 	f.Check(took > 140*time.Millisecond && took < 400*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
 }
 
-// A caller that leaves ends the work at the server.
+// A caller's disconnection cancels the run at the server.
 func TestACallerThatLeavesEndsTheRun(t *testing.T) {
 	ended := make(chan struct{})
 	b := newBackend(t, "i-1", func(w io.Writer, _ *http.Request) bool {
@@ -262,11 +261,11 @@
 	select {
 	case <-ended:
 	case <-time.After(2 * time.Second):
-		f.Fatal("the server is still at work")
+		f.Fatal("the server still runs the request")
 	}
 }
 
-// Servers that drain or whose entries are removed get nothing more.
+// Servers that are draining or whose entries are removed receive no new requests.
 func TestLeavingServersGetNoWork(t *testing.T) {
 	a, b := newBackend(t, "i-1", ok), newBackend(t, "i-2", ok)
 	f := start(t, testConfig(1), a, b)
@@ -283,8 +282,8 @@
 	f.Check(f.call("/safe/", "last").status, qt.Equals, http.StatusServiceUnavailable)
 }
 
-// A planned stop: not ready at once, new work is still taken for a while,
-// kept connections are told to close, and what runs ends whole.
+// During a planned shutdown the router is unready at once, still accepts new requests for a
+// while, asks callers to close kept connections, and completes the requests in flight.
 func TestAPlannedStopCutsNothing(t *testing.T) {
 	b := newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool { return events(w, req, 10, 20*time.Millisecond, false) })
 	f := start(t, testConfig(1), b)
@@ -305,8 +304,8 @@
 	f.Check(got.body, qt.Equals, eventsText(1, 10))
 }
 
-// While a router leaves, streams are refused, as they may outlast it; short
-// requests are served to the end.
+// While a router shuts down, it refuses streams, as they may outlast it, and serves short
+// requests until the end.
 func TestALeavingRouterServesShortRequests(t *testing.T) {
 	long := func(w io.Writer, req *http.Request) bool {
 		if req.URL.Path == "/safe/" {
@@ -329,8 +328,8 @@
 	f.Check((<-running).err, qt.IsNil)
 }
 
-// Routers that hear that another one has newer knowledge take it from there,
-// and only when its word answers a message of their own does it count as fresh.
+// A router that learns that another one has a newer revision fetches it from there, and the
+// revision counts as current only if the other router's message answers one of its own.
 func TestKnowledgeComesFromAnotherRouter(t *testing.T) {
 	b := newBackend(t, "i-1", ok)
 	watcher := startPeer(t, "watcher", testConfig(1), b)
@@ -344,22 +343,22 @@
 		"follower": {Address: follower.set.Listen.Peers}, "watcher": {Address: watcher.set.Listen.Peers},
 	}}
 	follower.waitStatus("/keyed/", "new", http.StatusOK)
-	// The store stays away for longer than the bound; the watcher's word keeps
-	// the follower fresh.
+	// The store is unavailable for longer than the bound; the watcher's confirmation keeps the
+	// follower fresh.
 	time.Sleep(800 * time.Millisecond)
 	follower.Check(follower.call("/keyed/", "x", testKey, "new").status, qt.Equals, http.StatusOK)
 	follower.Check(follower.call("/keyed/", "y", testKey, "key").status, qt.Equals, http.StatusUnauthorized)
-	// It serves who comes, and asks the balancer to send callers elsewhere.
+	// It serves callers that come, and asks the load balancer to send callers elsewhere.
 	time.Sleep(cutReady)
 	follower.Check(follower.ready(), qt.Equals, http.StatusServiceUnavailable)
-	// Without the watcher the follower stops.
+	// Without the watcher the follower stops serving.
 	watcher.end()
 	time.Sleep(800 * time.Millisecond)
 	follower.Check(follower.call("/keyed/", "z", testKey, "new").status, qt.Equals, http.StatusServiceUnavailable)
 }
 
-// Every call of the store is paid for: a router to which others tell what is
-// new makes none, however many changes there are.
+// Every call to the store is paid for: a router that other routers keep up to date makes none,
+// however many changes there are.
 func TestAFollowerDoesNotAskTheStore(t *testing.T) {
 	b := newBackend(t, "i-1", ok)
 	routers := []*fixture{startPeer(t, "a", testConfig(1), b), startPeer(t, "b", testConfig(1), b), startPeer(t, "c", testConfig(1), b)}
@@ -385,9 +384,9 @@
 	follower.Check(follower.source.counted()-before, qt.Equals, 0)
 }
 
-// A watcher that the store turns away goes on to repeat its last word; only a new
-// one counts as told, or every router would wait for its patience to learn what
-// changed (DRAIN on lanna-glyph scale-2, both watchers turned away).
+// A watcher that the store refuses repeats its last confirmation; only a new one may count as
+// received, or every router would wait its full wait time to learn what changed. It happened
+// when both watchers of a small site were refused.
 func TestARepeatedWordIsNoNewOne(t *testing.T) {
 	set := settings.DefaultDirect()
 	set.ID = "follower"
@@ -408,10 +407,9 @@
 	qt.Check(t, tell(8) > first, qt.IsTrue)
 }
 
-// Pattern: a router with more work than its processor can do must still learn at
-// once that a server leaves. Ground: a call of another router took longer than
-// its bound there, for seconds (DRAIN on plgc-port-grown scale-1). One message
-// brings the change; no call is made.
+// A saturated router must still learn at once that a server is draining. A call to another
+// router took longer than its timeout there, for seconds. One message brings the change, and
+// no call is made.
 func TestChangesComeWithTheNextMessage(t *testing.T) {
 	b := newBackend(t, "i-1", ok)
 	watcher, follower := startPeer(t, "a", testConfig(1), b), startPeer(t, "b", testConfig(1), b)
@@ -425,14 +423,13 @@
 	follower.Check(follower.router.metrics.passed.Value(), qt.Equals, int64(1))
 	follower.Check(follower.call("/safe/", "r").status, qt.Equals, http.StatusServiceUnavailable)
 	follower.Check(follower.router.metrics.peerReads.Value(), qt.Equals, int64(0))
-	// What is older than what is known changes nothing.
+	// Changes older than the router's revision have no effect.
 	follower.router.update(mirror.Delta{Revision: 9, Servers: servers(b)})
 	follower.Check(follower.call("/safe/", "r2").status, qt.Equals, http.StatusServiceUnavailable)
 }
 
-// A router that begins while the store does not answer takes a configuration
-// from a seed and serves what needs no key; keys wait until it is known to be
-// the newest.
+// A router that starts while the store does not answer takes a configuration from a seed and
+// serves what needs no key; keys are refused until the configuration is confirmed as current.
 func TestARouterBeginsByASeed(t *testing.T) {
 	b := newBackend(t, "i-1", ok)
 	seed := startPeer(t, "seed", testConfig(3), b)
@@ -445,7 +442,7 @@
 	begun.Check(begun.ready(), qt.Equals, http.StatusServiceUnavailable)
 }
 
-// waitVersion waits until the version is in force.
+// waitVersion waits until the configuration version is in force.
 func (f *fixture) waitVersion(version uint64) {
 	for range 300 {
 		if t := f.router.table.Load(); t != nil && t.Version() == version {
@@ -456,7 +453,7 @@
 	f.Fatalf("version %d is not in force", version)
 }
 
-// meet registers the other router here.
+// meet registers the other router at this one.
 func (f *fixture) meet(other *fixture) {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
@@ -464,7 +461,7 @@
 	f.router.countRouters()
 }
 
-// Every metric is on the page, and the text form holds its numbers.
+// Every metric is in the documentation, and the text form contains its values.
 func TestMetricsAreDocumented(t *testing.T) {
 	f := start(t, testConfig(1), newBackend(t, "i-1", ok))
 	f.call("/safe/", "r")
@@ -481,7 +478,7 @@
 
 // stalled is a reader of the log that reads nothing until it is released.
 type stalled struct {
-	// entered is closed by the first write, which waits from then on.
+	// entered is closed by the first write, which blocks from then on.
 	entered, released chan struct{}
 	once              sync.Once
 }
@@ -493,8 +490,8 @@
 	return len(line), nil
 }
 
-// A reader of standard output that stalls costs lines, which are counted, and
-// slows no request.
+// A reader of standard output that stalls costs log lines, which are counted, and slows no
+// request.
 func TestAStalledReaderOfLogsSlowsNoRequest(t *testing.T) {
 	reader := &stalled{entered: make(chan struct{}), released: make(chan struct{})}
 	defer close(reader.released)
@@ -502,8 +499,8 @@
 	logger := observe.NewLogger(lines, "direct", "r", settings.Log{Level: settings.LogInfo})
 	f := startLogged(t, testConfig(1), logger, func(*settings.Direct, *testSource) {}, newBackend(t, "i-1", ok))
 	f.router.CountLost(lines.Dropped)
-	// The writer waits for its reader before the queue is filled: a batch that
-	// it took afterwards would leave room for a thousand lines.
+	// The writer must block on its reader before the queue is filled: a batch that it took
+	// afterwards would leave room for a thousand lines.
 	f.router.event("filler")
 	<-reader.entered
 	// More lines than any queue holds.
@@ -526,7 +523,7 @@
 	f.Check(w.Body.String(), qt.Contains, "log_lines_lost ")
 }
 
-// Each hop of a request has a span: its reception and each call of a server.
+// Each hop of a request has a span: its reception and each call to a server.
 func TestEachHopHasASpan(t *testing.T) {
 	kept := tracetest.NewInMemoryExporter()
 	tracer := observe.TracerTo(kept, "direct", "r", 1)
@@ -542,8 +539,8 @@
 	f.Check(names, qt.Contains, observe.SpanBackend)
 }
 
-// A timeout of a router that reads late says nothing about the server; a
-// refused connection always does.
+// A timeout at a router that reads late is not counted against the server; a refused
+// connection always is.
 func TestALateRouterDoesNotBlameServers(t *testing.T) {
 	f := start(t, testConfig(1))
 	timeout := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
--- a/transport/direct/dispatch.go
+++ b/transport/direct/dispatch.go
@@ -30,24 +30,23 @@
 	done step = iota
 	// refused means that the server did not run the request.
 	refused
-	// failed means that the request may have run and nothing of its answer
-	// was passed on.
+	// failed means that the request may have run and nothing of its answer was relayed.
 	failed
-	// broken means that a stream broke off after events were passed on.
+	// broken means that a stream broke off after events were relayed.
 	broken
 )
 
-// dispatch sends the request to servers until it has its final answer.
+// dispatch sends the request to servers until the caller has its final answer.
 func (c *call) dispatch(ctx context.Context) {
 	c.r.countRequest(c.service)
 	c.ask()
 	if c.r.isBlind() {
-		c.refuse(*notRun(outcome.ReasonPlatform, staleReturn, "this router has too much work to know which backend servers leave"))
+		c.refuse(*notRun(outcome.ReasonPlatform, staleReturn, "this router has too much work to know which backend servers are draining"))
 		return
 	}
 	if c.route.Kind == routing.Streaming {
 		if !c.r.load.take(c.team) {
-			c.refuse(*notRun(outcome.ReasonConnections, busyReturn, "this router passes on as many streams as it can"))
+			c.refuse(*notRun(outcome.ReasonConnections, busyReturn, "this router relays as many streams as it can"))
 			return
 		}
 		c.r.teams.Count(func(t *teamuse.Table) { t.Stream(c.team, 1) })
@@ -84,7 +83,7 @@
 	}
 }
 
-// attempt sends the request to one server and passes its answer on.
+// attempt sends the request to one server and relays its answer.
 func (c *call) attempt(ctx context.Context, run *admission.Run, events *eventstream.Follower) (step, error) {
 	result := health.NoResult
 	defer func() { c.r.runEnded(run, result) }()
@@ -94,14 +93,14 @@
 	}
 	c.sent++
 	if c.team != "" && !c.r.isFresh() {
-		return refused, errors.New("the configuration cannot be shown to be the newest")
+		return refused, errors.New("the configuration cannot be shown to be current")
 	}
 	server, known := c.r.server(run.Server())
 	if !known {
 		return refused, errors.New("the server left")
 	}
 	if server.Incarnation != run.Incarnation() {
-		return refused, errors.New("the server started again")
+		return refused, errors.New("the server restarted")
 	}
 	c.arrived, c.server = false, server
 	c.avoid = append(c.avoid, server.ID)
@@ -165,8 +164,8 @@
 	return next, err
 }
 
-// answerBegins notes the first byte of an answer, and counts the request as begun at its
-// first success: an engine begins a run with its first token.
+// answerBegins records the time of an answer's first byte, and counts the request as started
+// at its first success: an engine starts a run with its first token.
 func (c *call) answerBegins(status int) {
 	c.firstByte = time.Now()
 	if c.tokens == 0 || c.counted || status >= http.StatusMultipleChoices {
@@ -177,14 +176,14 @@
 	c.r.teams.Count(func(t *teamuse.Table) { t.Begun(c.team, c.tokens, isLate) })
 }
 
-// addressOf returns the address of the server, or nothing when it is unknown.
+// addressOf returns the address of the server, or "" if it is unknown.
 func (r *Router) addressOf(id string) string {
 	server, _ := r.server(id)
 	return server.Address
 }
 
-// unreached judges a connection that could not be opened. A router that reads
-// late sees timeouts of its own making.
+// unreached classifies a failure to open a connection. A router that reads late causes
+// timeouts itself.
 func (r *Router) unreached(ctx context.Context, err error) health.Result {
 	var network net.Error
 	isTimeout := errors.As(err, &network) && network.Timeout()
@@ -194,15 +193,15 @@
 	return health.Unreachable
 }
 
-// mayGoOn decides whether a further server is tried. Each further send of a
-// request that arrived at a server draws on the fleet's budget; one that found
-// no connection did not arrive.
+// mayGoOn decides whether another server is tried. Each further send of a request that arrived
+// at a server draws on the fleet's retry budget; one whose connection could not be opened did
+// not arrive.
 func (c *call) mayGoOn(ctx context.Context, after step, events *eventstream.Follower) bool {
 	if ctx.Err() != nil || c.sent >= sends || c.left() <= 0 {
 		return false
 	}
 	if c.team != "" && !c.r.isFresh() {
-		// The key may have been taken away while the request ran.
+		// The key may have been revoked while the request ran.
 		return false
 	}
 	if after == broken && (c.route.Kind != routing.Streaming || !events.CanGoOn()) {
@@ -218,7 +217,7 @@
 	return !c.arrived || c.r.takeRepeat(c.service)
 }
 
-// giveUp gives the final answer after the last attempt.
+// giveUp sends the final answer after the last attempt.
 func (c *call) giveUp(ctx context.Context, after step, err error) {
 	switch {
 	case c.req.Context().Err() != nil && time.Now().Before(c.deadline):
@@ -228,17 +227,17 @@
 	case c.reached == 0 && after == refused && c.left() <= 0:
 		c.refuse(*tooLate())
 	case c.reached == 0 && after == refused:
-		c.refuse(*notRun(outcome.ReasonNoBackend, c.returnAfter(), "no backend server took the request"))
+		c.refuse(*notRun(outcome.ReasonNoBackend, c.returnAfter(), "no backend server accepted the request"))
 	case ctx.Err() != nil && c.r.ending.Err() != nil:
 		c.fail(outcome.ReasonLeaving, http.StatusBadGateway, "this router stopped before the answer was whole")
 	case ctx.Err() != nil:
-		c.fail(outcome.ReasonDeadline, http.StatusGatewayTimeout, "the time limit passed while a backend server was at work")
+		c.fail(outcome.ReasonDeadline, http.StatusGatewayTimeout, "the request's deadline passed while a backend server ran it")
 	default:
 		c.fail(outcome.ReasonAnswerLost, http.StatusBadGateway, errText(err))
 	}
 }
 
-// returnAfter is when to come back after servers refused.
+// returnAfter is the Retry-After once servers have refused.
 func (c *call) returnAfter() time.Duration {
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
@@ -250,8 +249,7 @@
 	c.refuse(outcome.Outcome{Kind: outcome.Unknown, Reason: reason, Status: status, Detail: detail})
 }
 
-// cut closes the caller's connection, so that an answer that is not whole does
-// not look so.
+// cut closes the caller's connection, so that an incomplete answer does not look complete.
 func (c *call) cut(why string) {
 	c.told = toldCut
 	c.logEnd("cut: "+why, 0, 0)
@@ -259,11 +257,11 @@
 	c.closeConnection()
 }
 
-// reasonCallerLeft is the reason in logs of a request whose caller left.
+// reasonCallerLeft is the logged reason for a request whose caller disconnected.
 const reasonCallerLeft = "caller_left"
 
-// callerLeft ends a request whose caller is gone. Without the end of its
-// connection, net/http would answer it with an empty success.
+// callerLeft ends a request whose caller disconnected. If the connection were not closed,
+// net/http would answer with an empty success.
 func (c *call) callerLeft() {
 	c.logEnd(reasonCallerLeft, 0, 0)
 	if c.tokens > 0 && !c.counted {
--- a/transport/direct/ending.go
+++ b/transport/direct/ending.go
@@ -14,22 +14,22 @@
 	"goldcrestport/transport/probe"
 )
 
-// answerEnd is how the answer of an attempt was framed and ended.
+// answerEnd is how the answer of an attempt was framed and how it ended.
 type answerEnd struct {
 	completeness.Answer
 	verdict completeness.Verdict
-	// sign is what the server showed after an end that says nothing.
+	// sign is the result of probing the server after an ambiguous end.
 	sign completeness.Sign
-	// bytes of the body that came.
+	// bytes is the number of body bytes received.
 	bytes int64
 	// lastEvent is the id of the last whole event; empty for none.
 	lastEvent string
 }
 
-// noAnswer is written of a request without any answer of a server.
+// noAnswer is logged for a request that got no answer from any server.
 const noAnswer = "none"
 
-// framed says how the answer was framed and ended.
+// framed returns how the answer was framed and how it ended.
 func (e *answerEnd) framed() string {
 	if e == nil {
 		return noAnswer
@@ -37,12 +37,12 @@
 	return e.Framing.String() + "/" + e.End.String()
 }
 
-// isBelieved reports whether nothing marked the end of an answer that is taken for whole.
+// isBelieved reports whether the answer counts as whole although nothing marked its end.
 func (e *answerEnd) isBelieved() bool {
 	return e != nil && e.verdict == completeness.Whole && e.End != completeness.Marked
 }
 
-// toldWhole and toldCut are what a caller can be told of an answer that began.
+// toldWhole and toldCut are the forms in which a caller can receive an answer that started.
 const (
 	toldWhole = "whole"
 	toldCut   = "cut"
@@ -59,8 +59,8 @@
 	return e
 }
 
-// isStream reports whether the answer is a stream of events: each success on a streaming route,
-// but for one that says that it is a single JSON value.
+// isStream reports whether the answer is an event stream: every success on a streaming route,
+// except one whose content type says that it is a single JSON value.
 func (c *call) isStream(answer *backend.Answer) bool {
 	if c.route.Kind != routing.Streaming || !isSuccess(answer.Status) {
 		return false
@@ -73,8 +73,8 @@
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// concluded decides what the answer's end means, once no more of it is read. It counts it, and
-// writes a line of one that its server broke off.
+// concluded decides what the answer's end means, once no more of it is read. It counts the
+// answer, and logs one that its server broke off.
 func (c *call) concluded(ctx context.Context, answer *backend.Answer, events *eventstream.Follower) completeness.Verdict {
 	e := c.endOf(answer, events)
 	if e.verdict == completeness.Unmarked {
@@ -89,8 +89,8 @@
 	return e.verdict
 }
 
-// signOf looks whether the server takes connections right after the end of an answer. The one
-// that is opened serves the next request.
+// signOf probes whether the server accepts connections right after the end of an answer. The
+// connection that it opens is used for the next request.
 func (r *Router) signOf(ctx context.Context, server roster.Server) completeness.Sign {
 	if known, is := r.server(server.ID); !is || known.Incarnation != server.Incarnation {
 		return completeness.Silent
@@ -98,7 +98,7 @@
 	return probe.Sign(r.pool.Probe(ctx, backend.Target{ID: server.Identity(), Address: server.Address}))
 }
 
-// logBroken writes the line of an answer that its server broke off.
+// logBroken logs an answer that its server broke off.
 func (c *call) logBroken() {
 	now := time.Now()
 	allowed, dropped := c.r.attempts.Allow("answer_broken", now)
@@ -112,8 +112,8 @@
 	c.r.event("answer_broken", append(append(line, c.endKeyvals()...), "left_out", dropped)...)
 }
 
-// endKeyvals are the parts of a line about the end of the last answer and what the caller
-// was told of it.
+// endKeyvals returns the log fields about the end of the last answer and the form in which the
+// caller received it.
 func (c *call) endKeyvals() []any {
 	e := c.answer
 	if e == nil {
@@ -125,7 +125,8 @@
 	}
 }
 
-// framingTold is the framing by which the caller gets a body of the length; -1: not known.
+// framingTold returns the framing in which the caller gets a body of the given length; -1
+// means unknown.
 func (c *call) framingTold(length int64) string {
 	switch {
 	case length >= 0:
--- a/transport/direct/ending_test.go
+++ b/transport/direct/ending_test.go
@@ -25,8 +25,8 @@
 	return out
 }
 
-// From a request's id to how its answer was framed and ended, and what its caller was told:
-// without that nobody can tell a broken answer from a whole one afterwards.
+// The log shows for a request's id how its answer was framed, how it ended and what its caller
+// received: otherwise a broken answer cannot be told from a whole one afterwards.
 func TestTheEndOfAnAnswerIsLogged(t *testing.T) {
 	run := func(w io.Writer, _ *http.Request) bool {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: m\r\nTransfer-Encoding: chunked\r\n\r\nd\r\nid: 7\n\ndata:\r\n", testMark)
@@ -48,8 +48,8 @@
 	f.Check(f.router.metrics.answers.Get("chunks/closed/broken").String(), qt.Equals, "1")
 }
 
-// An answer whose end nobody marked, and that was believed, has its line: it is the one of which
-// one must be able to say later why its caller was told that it is whole.
+// An answer that counts as whole although nothing marked its end is always logged, so that it
+// can be explained later why its caller received it as whole.
 func TestEachAnswerThatIsBelievedHasALine(t *testing.T) {
 	var lines lineBuffer
 	believed := plan(answerPlan{framing: byConnection, body: eventsText(1, 2)})
--- a/transport/direct/evacuation_test.go
+++ b/transport/direct/evacuation_test.go
@@ -14,13 +14,13 @@
 	"goldcrestport/protocol/settings"
 )
 
-// inDataCentre is the entry of a backend server in a data centre.
+// inDataCentre returns the entry of a backend server in a data centre.
 func inDataCentre(b *backendServer, dataCentre string) roster.Server {
 	return roster.Server{ID: b.id, Address: b.address, Service: "app", DataCentre: dataCentre, Slots: 8}
 }
 
-// The operators evacuate a data centre and take it back: its servers get nothing
-// meanwhile, what runs there goes on, and others serve its callers.
+// The operators evacuate a data centre and end the evacuation: its servers receive no requests
+// meanwhile, runs there continue, and other servers serve its callers.
 func TestAnEvacuatedDataCentreGetsNothingUntilItIsTakenBack(t *testing.T) {
 	begun, end := make(chan bool, 1), make(chan bool)
 	east := newBackend(t, "i-east", func(w io.Writer, req *http.Request) bool {
@@ -52,7 +52,7 @@
 	sent := time.Now()
 	f.Check(f.call("/safe/", "r").status, qt.Equals, http.StatusServiceUnavailable)
 	f.Check(time.Since(sent) < time.Second, qt.IsTrue)
-	// A whole reading without them takes the evacuations back.
+	// A whole snapshot without evacuations ends them.
 	f.router.replace(mirror.Snapshot{Servers: []roster.Server{inDataCentre(east, "east")}, Routers: map[string]mirror.Registration{}, Revision: 4})
 	f.Check(f.call("/safe/", "back").status, qt.Equals, http.StatusOK)
 	f.Check(east.runs(), qt.DeepEquals, []string{"long", "back"})
@@ -60,12 +60,12 @@
 	f.Check(lines.String(), qt.Contains, "event=evacuation data_centre=east in_force=false revision=4")
 }
 
-// A router that begins by another one's word knows what is evacuated.
+// A router that starts from another router's state knows what is evacuated.
 func TestAnEvacuationIsToldToRoutersThatBegin(t *testing.T) {
 	f := start(t, testConfig(1))
 	f.source.changes <- mirror.Delta{Evacuated: []string{"east", "west"}, Revision: 2}
 	f.source.changes <- mirror.Delta{Returned: []string{"west"}, Revision: 3}
-	f.waitFor("the changes did not come", func() bool { return f.router.known() == 3 })
+	f.waitFor("the changes did not arrive", func() bool { return f.router.known() == 3 })
 	whole, err := f.router.mirrored(changesRequest{Revision: 3})
 	f.Assert(err, qt.IsNil)
 	f.Check(whole.Whole.Evacuated, qt.DeepEquals, []string{"east"})
--- a/transport/direct/follow.go
+++ b/transport/direct/follow.go
@@ -12,7 +12,7 @@
 	"goldcrestport/transport/platform"
 )
 
-// follow keeps the configuration and the servers as the store has them.
+// follow keeps the configuration and the servers up to date with the store.
 func (r *Router) follow(ctx context.Context) {
 	f := &follower{r: r, duty: watchduty.DefaultConfig()}
 	for ctx.Err() == nil {
@@ -25,14 +25,14 @@
 			continue
 		}
 		if r.table.Load() == nil {
-			// The whole fleet and its servers may be starting: what they write
-			// meanwhile is read together.
+			// The whole fleet and its servers may be starting, so what they write meanwhile is
+			// read in one call.
 			sleep(ctx, startPause)
 		}
 	}
 }
 
-// sleep waits, or until ctx ends.
+// sleep waits for the duration or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -40,21 +40,21 @@
 	}
 }
 
-// follower is the state of the duty that reads the store.
+// follower is the state of the task that reads the store.
 type follower struct {
 	r      *Router
 	duty   watchduty.Config
 	loaded time.Time
 	lost   bool
-	// nextTry is when a router that is cut off from the store tries it again.
+	// nextTry is when a router that cannot reach the store tries it again.
 	nextTry time.Time
-	// catchUp tells that other routers know of changes that this one does not.
+	// catchUp tells that other routers have changes that this one lacks.
 	catchUp bool
-	// wanted tells that a request could not be sent for want of young knowledge.
+	// wanted tells that a request waits for more recent information.
 	wanted bool
 }
 
-// asks reports whether this router asks the store now, or relies on others.
+// asks reports whether this router queries the store now, or relies on other routers.
 func (f *follower) asks() bool {
 	if f.r.known() == 0 || f.catchUp || f.wanted || f.retries() {
 		return true
@@ -67,8 +67,7 @@
 	return f.duty.Asks(f.r.set.ID, f.r.routers(), k)
 }
 
-// routers returns the ids of all routers, this one's with them. The caller
-// holds mu.
+// routers returns the ids of all routers, including this one. The caller holds mu.
 func (r *Router) routers() []string {
 	ids := slices.Collect(maps.Keys(r.peers))
 	if _, listed := r.peers[r.set.ID]; !listed {
@@ -77,13 +76,13 @@
 	return ids
 }
 
-// retries reports whether the store is due another try after it did not answer:
-// other routers may still tell what is new, but not for ever.
+// retries reports whether a store that did not answer is due another try: other routers may
+// still send updates, but not forever.
 func (f *follower) retries() bool {
 	return f.r.cutSince.Load() != 0 && !time.Now().Before(f.nextTry)
 }
 
-// await waits until others tell of changes, for a moment at most.
+// await waits for other routers to report changes, for awaitStep at most.
 func (f *follower) await(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -91,7 +90,7 @@
 	case <-f.r.wanted:
 		f.wanted = true
 	case <-f.r.behind:
-		// What is written in quick succession is read together.
+		// Changes that are written in quick succession are read together.
 		time.Sleep(catchUpDelay)
 		f.catchUp = true
 	}
@@ -119,8 +118,8 @@
 	return f.changes(ctx, f.patience())
 }
 
-// patience is how long this router waits for changes: one of those that watch
-// for all waits long, another one asks only to know at once what is new.
+// patience is how long this router waits for changes: a router chosen to watch for all waits
+// long, any other one only fetches what is already available.
 func (f *follower) patience() time.Duration {
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
@@ -155,8 +154,8 @@
 	after := f.r.known()
 	d, err := f.r.source.Changes(ctx, after, wait)
 	if err != nil {
-		// A wait that was cut may have missed changes. What other routers
-		// tell goes on from what is known.
+		// An interrupted wait may have missed changes. Updates from other routers continue
+		// from the known revision.
 		f.loaded = time.Time{}
 		return err
 	}
@@ -190,8 +189,8 @@
 	}
 }
 
-// storeLost notes that the store does not answer this router. Entries may lapse from
-// now on, unless others say that it answers them.
+// storeLost records that the store does not answer this router. Entries may lapse from now on,
+// unless others report that the store answers them.
 func (f *follower) storeLost(err error) {
 	if f.ownFault(err) {
 		return
@@ -209,23 +208,23 @@
 	}
 }
 
-// ownFault reports whether a timeout is most likely this router's own: a
-// saturated one reads answers seconds late. To take that for an outage of the
-// store would keep servers whose entries are gone because they left.
+// ownFault reports whether a timeout is most likely this router's own: a saturated router
+// reads answers seconds late. Treating that as an outage of the store would keep servers whose
+// entries are gone because they shut down.
 func (f *follower) ownFault(err error) bool {
 	return f.r.load.saturated.Load() && errors.Is(err, context.DeadlineExceeded)
 }
 
-// worked notes that the store answered a call of this router that was sent at the reading of
-// bootTime.
+// worked records that the store answered a call of this router that was sent at the given
+// reading of bootTime.
 func (f *follower) worked(sent time.Duration) {
 	f.r.cutSince.Store(0)
 	f.storeBack(false, sent)
 }
 
-// storeBack notes that what the store holds is known again, from it or from
-// another router, which may know that it was sound all the while. It answered at the reading
-// of bootTime.
+// storeBack records that the store's contents are known again, from the store or from another
+// router, which may report that the store was available throughout. The store answered at the
+// given reading of bootTime.
 func (f *follower) storeBack(sound bool, at time.Duration) {
 	if !f.lost {
 		return
--- a/transport/direct/framing_harness_test.go
+++ b/transport/direct/framing_harness_test.go
@@ -13,27 +13,27 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Framings of answers that the servers of these tests send.
+// Framings of the answers that the test servers send.
 const (
 	byConnection = "connection"
 	byChunks     = "chunks"
 	byLength     = "length"
 )
 
-// Ends of their connections.
+// Ways in which their connections end.
 const (
 	closes = "closes"
 	resets = "resets"
 )
 
-// answerPlan is one answer as a server sends it: status 200, the server's mark, the body in
-// the framing, and then the end.
+// answerPlan is an answer that a server sends: status 200, the server's mark, the body in the
+// framing, and then the end.
 type answerPlan struct {
 	framing string
 	body    string
-	// noEnd leaves out the mark of the framing: the last chunk, or a byte of the length.
+	// noEnd omits the mark of the framing's end: the last chunk, or a byte of the length.
 	noEnd bool
-	// end of the connection; empty: it is kept.
+	// end of the connection; empty if it is kept.
 	end string
 }
 
@@ -73,8 +73,8 @@
 	}
 }
 
-// inTurn lets servers answer by the plans, one request after the other, whichever server
-// gets it, and the last one all further requests. It counts the requests.
+// inTurn lets servers answer by the plans, one request after the other at whichever server,
+// and all further requests by the last plan. It counts the requests.
 func inTurn(n *atomic.Int32, plans ...func(w io.Writer, req *http.Request) bool) func(io.Writer, *http.Request) bool {
 	return func(w io.Writer, req *http.Request) bool {
 		at := int(n.Add(1)) - 1
@@ -82,7 +82,7 @@
 	}
 }
 
-// plan is a step of inTurn.
+// plan returns a step of inTurn.
 func plan(p answerPlan) func(io.Writer, *http.Request) bool {
 	return func(w io.Writer, _ *http.Request) bool { return p.send(w) }
 }
@@ -93,25 +93,25 @@
 // streamEvents is the number of events of a whole stream in these tests.
 const streamEvents = 6
 
-// seen is an answer as a caller on a connection of its own saw it.
+// seen is an answer as a caller on its own connection received it.
 type seen struct {
 	status int
 	header http.Header
 	body   string
-	// broken is what broke the answer off; nil: it looks whole.
+	// broken is the error that broke the answer off; nil if it looks whole.
 	broken error
 }
 
 // looksWhole reports whether the caller has a success that looks whole.
 func (s seen) looksWhole() bool { return s.broken == nil && s.status == http.StatusOK }
 
-// Protocols that callers speak.
+// Protocols of the callers.
 const (
 	http11 = "HTTP/1.1"
 	http10 = "HTTP/1.0"
 )
 
-// rawCaller is one connection of a caller, as it is on the wire.
+// rawCaller is a caller's connection at the wire level.
 type rawCaller struct {
 	c    *qt.C
 	conn net.Conn
@@ -125,7 +125,7 @@
 	return &rawCaller{c: f.C, conn: conn, r: bufio.NewReader(conn)}
 }
 
-// ask sends a request and reads what comes of its answer.
+// ask sends a request and reads its answer as far as it comes.
 func (o *rawCaller) ask(method, proto, path, id string, headers ...string) seen {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s\r\nHost: h\r\n%s: %s\r\n%s: 2500\r\nContent-Length: 4\r\n", method, path, proto, testID, id, testLeft)
@@ -142,16 +142,17 @@
 	return seen{status: resp.StatusCode, header: resp.Header, body: string(body), broken: err}
 }
 
-// once asks on a connection of its own.
+// once sends a request on a new connection.
 func (f *fixture) once(proto, path, id string, headers ...string) seen {
 	return f.connect().ask(http.MethodPost, proto, path, id, headers...)
 }
 
-// isWholeEvents reports whether the text is the first events of a stream, each whole.
+// isWholeEvents reports whether the text is the start of a stream and consists of whole
+// events.
 func isWholeEvents(text string) bool {
 	n := strings.Count(text, "\n\n")
 	return text == eventsText(1, n)
 }
 
-// numbered returns ids for requests.
+// numbered returns the id of request n.
 func numbered(prefix string, n int) string { return prefix + strconv.Itoa(n) }
--- a/transport/direct/framing_test.go
+++ b/transport/direct/framing_test.go
@@ -25,8 +25,8 @@
 	"the last byte of a line end": eventsText(1, 3) + "id: 4\ndata: e4",
 }
 
-// checkCut lets servers break a stream off that may not be resumed: its caller must see that,
-// and get no piece of an event and no second run.
+// checkCut lets servers break off a stream that may not be resumed: its caller must see that,
+// and get no partial event and no second run.
 func checkCut(t *testing.T, framing string) {
 	for name, body := range insideAnEvent {
 		for _, proto := range []string{http11, http10} {
@@ -43,8 +43,8 @@
 	}
 }
 
-// checkGoesOn lets the first server break a stream off that may be resumed: the second one
-// goes on after the last whole event, in one answer.
+// checkGoesOn lets the first server break off a stream that may be resumed: the second one
+// continues after the last whole event, in the same answer.
 func checkGoesOn(t *testing.T, framing string) {
 	for name, body := range insideAnEvent {
 		var n atomic.Int32
@@ -58,32 +58,32 @@
 	}
 }
 
-// A connection that closed inside an event was taken for the end of the stream.
+// Guards against taking a connection that closed inside an event for the end of the stream.
 func TestAStreamWithoutFramingThatClosesInsideAnEventIsCut(t *testing.T) {
 	checkCut(t, byConnection)
 }
 
-// A connection that closed inside an event was taken for the end of a stream that another
-// server could have gone on with.
+// Guards against taking a connection that closed inside an event for the end of a stream that
+// another server could have continued.
 func TestAStreamWithoutFramingThatClosesInsideAnEventGoesOn(t *testing.T) {
 	checkGoesOn(t, byConnection)
 }
 
-// A marked end inside an event was taken for the end of the stream.
+// Guards against taking a marked end inside an event for the end of the stream.
 func TestAMarkedEndInsideAnEventIsCut(t *testing.T) {
 	checkCut(t, byChunks)
 	checkCut(t, byLength)
 }
 
-// A marked end inside an event was taken for the end of a stream that another server could
-// have gone on with.
+// Guards against taking a marked end inside an event for the end of a stream that another
+// server could have continued.
 func TestAMarkedEndInsideAnEventGoesOn(t *testing.T) {
 	checkGoesOn(t, byChunks)
 	checkGoesOn(t, byLength)
 }
 
-// A caller that gets no chunks read each cut as the end of a whole answer: the router closed
-// its connection in good order.
+// Guards against a caller without chunked encoding that reads each cut as the end of a whole
+// answer, because the router closed its connection in the regular way.
 func TestACutIsAResetForACallerWithoutChunks(t *testing.T) {
 	for name, p := range map[string]answerPlan{
 		"chunks without their end": {framing: byChunks, body: eventsText(1, 3), noEnd: true, end: closes},
@@ -96,7 +96,7 @@
 			tail := p
 			p.end, tail.body = "", ""
 			p.send(w)
-			// What was sent is read before a reset takes it back.
+			// What was sent is read before a reset discards it.
 			time.Sleep(20 * time.Millisecond)
 			return tail.over(w)
 		}
@@ -106,12 +106,12 @@
 			f.Check(got.looksWhole(), qt.IsFalse, qt.Commentf("%s, %s: %q", name, proto, got.body))
 		}
 		got := f.once(http10, "/resume/", "r")
-		f.Check(got.looksWhole(), qt.IsFalse, qt.Commentf("%s, resumed nowhere: %q", name, got.body))
+		f.Check(got.looksWhole(), qt.IsFalse, qt.Commentf("%s, not resumed: %q", name, got.body))
 	}
 }
 
-// A stream without framing that closed before its first event reached its caller as a whole
-// one without events.
+// Guards against a stream without framing that closed before its first event and reached its
+// caller as a whole stream without events.
 func TestAStreamWithoutFramingOrEventsIsNotWhole(t *testing.T) {
 	var n atomic.Int32
 	empty := plan(answerPlan{framing: byConnection})
@@ -124,8 +124,8 @@
 	f.Check(got.body, qt.Equals, eventsText(1, streamEvents))
 }
 
-// What comes whole stays whole: streams and plain answers in every framing, without a body, and
-// to callers with and without chunks, on kept connections too.
+// Whole answers stay whole: streams and plain answers in every framing, without a body, and to
+// callers with and without chunked encoding, also on kept connections.
 func TestWhatIsWholeLooksWhole(t *testing.T) {
 	const text = "id: 1\ndata: e1\n\n"
 	bare := func(status int, head, body string) func(io.Writer, *http.Request) bool {
@@ -170,8 +170,8 @@
 	}
 }
 
-// A plain answer without framing that is reset is not whole, short or longer than what is read
-// at once, whoever asks.
+// A plain answer without framing that is reset is not whole, whether shorter or longer than
+// what is buffered, with each protocol.
 func TestAPlainAnswerWithoutFramingThatIsResetIsNotWhole(t *testing.T) {
 	for _, size := range []int{5, 3 * wholeBody} {
 		run := func(w io.Writer, _ *http.Request) bool {
@@ -188,8 +188,8 @@
 	}
 }
 
-// A caller keeps its connection: a stream that is cut on it ends it, so that nothing of a
-// later answer follows the piece.
+// Cutting a stream on a kept connection ends the connection, so that no later answer follows
+// the partial stream.
 func TestACutEndsAKeptConnection(t *testing.T) {
 	var n atomic.Int32
 	run := inTurn(&n, ok, plan(answerPlan{framing: byConnection, body: insideAnEvent["half a line"]}), ok)
@@ -201,8 +201,8 @@
 	f.Check(err, qt.IsNotNil)
 }
 
-// Events that end by CR or CRLF were held back to the end of a stream that may be resumed, and
-// it was resumed from its begin.
+// Guards against events that end by CR or CRLF and were held back until the end of a stream
+// that may be resumed, which was then resumed from its start.
 func TestEventsEndByEachLineEndOfTheStandard(t *testing.T) {
 	for name, lineEnd := range map[string]string{"CRLF": "\r\n", "CR": "\r"} {
 		text := func(from, to int) string { return strings.ReplaceAll(eventsText(from, to), "\n", lineEnd) }
@@ -249,11 +249,11 @@
 	}
 }
 
-// noEvent is a comment, which callers may get or not.
+// noEvent is a comment, which callers may or may not get.
 const noEvent = ": no event\n\n"
 
-// checkJoining lets the first server break off after three events and the second one send
-// what does not go on after them: a third one does, and the caller gets each event once.
+// checkJoining lets the first server break off after three events and the second one send an
+// answer that does not continue them: a third one does, and the caller gets each event once.
 func checkJoining(t *testing.T, liar answerPlan) {
 	var n atomic.Int32
 	run := inTurn(&n, plan(answerPlan{framing: byChunks, body: eventsText(1, 3), noEnd: true, end: closes}), plan(liar), goesOn)
@@ -267,22 +267,26 @@
 	f.Check(n.Load(), qt.Equals, int32(3))
 }
 
-// A server that was to go on began anew, and the caller got the first events twice.
+// Guards against a server that should continue a stream but restarts it, so that the caller
+// gets the first events twice.
 func TestAContinuationThatBeginsAnewIsNotJoined(t *testing.T) {
 	checkJoining(t, answerPlan{framing: byChunks, body: eventsText(1, streamEvents)})
 }
 
-// A server that was to go on repeated the last event, and the caller got it twice.
+// Guards against a server that should continue a stream but repeats the last event, so that
+// the caller gets it twice.
 func TestAContinuationThatRepeatsTheLastEventIsNotJoined(t *testing.T) {
 	checkJoining(t, answerPlan{framing: byChunks, body: eventsText(3, streamEvents)})
 }
 
-// A server that was to go on left events out, and the caller never got them.
+// Guards against a server that should continue a stream but skips events, so that the caller
+// never gets them.
 func TestAContinuationThatLeavesEventsOutIsNotJoined(t *testing.T) {
 	checkJoining(t, answerPlan{framing: byChunks, body: eventsText(5, streamEvents)})
 }
 
-// A server that was to go on sent no event, and the caller took the stream for whole.
+// Guards against a server that should continue a stream but sends no event, so that the caller
+// takes the stream for whole.
 func TestAContinuationWithoutAnEventIsNotJoined(t *testing.T) {
 	for _, framing := range []string{byChunks, byLength, byConnection} {
 		checkJoining(t, answerPlan{framing: framing})
@@ -290,8 +294,8 @@
 	checkJoining(t, answerPlan{framing: byChunks, body: noEvent})
 }
 
-// A server that was to go on answered with a JSON value, which was joined to the events that the
-// caller had.
+// Guards against a server that should continue a stream but answers with a JSON value, which
+// was joined to the events that the caller had.
 func TestAContinuationThatIsNoStreamIsNotJoined(t *testing.T) {
 	var n atomic.Int32
 	value := func(w io.Writer, req *http.Request) bool {
@@ -304,8 +308,8 @@
 	f.Check(got.body, qt.Equals, eventsText(1, streamEvents))
 }
 
-// A stream whose events have no ids was asked for anew after it broke off, and joined to what
-// the caller had.
+// Guards against a stream whose events have no ids, which was requested again after it broke
+// off and joined to the events that the caller had.
 func TestAStreamWithoutIdsIsNotJoined(t *testing.T) {
 	var n atomic.Int32
 	run := inTurn(&n, plan(answerPlan{framing: byChunks, body: "data: a\n\ndata: b\n\n", noEnd: true, end: closes}),
@@ -317,7 +321,7 @@
 	f.Check(n.Load(), qt.Equals, int32(1))
 }
 
-// A caller that resumes by itself was given events that it has.
+// Guards against a caller that resumes on its own and gets events that it already has.
 func TestACallersOwnResumeBringsNoEventTwice(t *testing.T) {
 	var n atomic.Int32
 	run := inTurn(&n, plan(answerPlan{framing: byChunks, body: eventsText(1, streamEvents)}), goesOn)
@@ -327,7 +331,8 @@
 	f.Check(got.body, qt.Equals, eventsText(4, streamEvents))
 }
 
-// A server that breaks off each stream without framing counted as sound, and kept its work.
+// Guards against a server that breaks off each stream without framing but counts as healthy
+// and keeps receiving requests.
 func TestAServerThatBreaksStreamsWithoutFramingIsEjected(t *testing.T) {
 	bad := newBackend(t, "i-1", plan(answerPlan{framing: byConnection, body: insideAnEvent["half a line"]}))
 	good := newBackend(t, "i-2", goesOn)
@@ -338,14 +343,14 @@
 	f.Check(len(bad.runs()) < 15, qt.IsTrue, qt.Commentf("%d of 40 requests went to a server that breaks each off", len(bad.runs())))
 }
 
-// withoutFraming: the server ends with half an event, and its streams have no framing.
+// withoutFraming: the server crashes after half an event, and its streams have no framing.
 func withoutFraming(w io.Writer, _ *http.Request) {
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: m\r\n\r\n%sid: 3\nda", testMark, eventsText(1, 2))
 	time.Sleep(20 * time.Millisecond)
 }
 
-// A request that crashes each server under a stream without framing was held for one that runs
-// well, and went on to further servers.
+// Guards against a request that crashes each server under a stream without framing but was
+// taken for one that runs well and was sent to further servers.
 func TestARequestThatCrashesServersUnderStreamsWithoutFramingIsStopped(t *testing.T) {
 	f := startFleet(t, 2, 8, withoutFraming)
 	stop := time.Now().Add(contactTime + 4*time.Second)
@@ -360,11 +365,11 @@
 	f.routers[0].Check(late <= furtherSends, qt.IsTrue, qt.Commentf("sent %d times after it was known", late))
 }
 
-// crashing serves one answer at a server that takes no connection after it.
+// crashing serves one answer at a server that accepts no connection after it.
 func crashing(t *testing.T, answer string) *backendServer { return crashingAfter(t, answer, 0) }
 
-// crashingAfter is a server whose process takes some connections more after it closed that of
-// the answer, and ends with them.
+// crashingAfter is a server whose process accepts some more connections after it closed that
+// of the answer, and ends with them.
 func crashingAfter(t *testing.T, answer string, more int) *backendServer {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -395,8 +400,8 @@
 	return b
 }
 
-// A server that crashed closed its connection between two events, and its stream was taken
-// for whole.
+// Guards against a crashed server that closed its connection between two events and whose
+// stream was taken for whole.
 func TestAStreamThatACrashClosedBetweenTwoEventsIsNotWhole(t *testing.T) {
 	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: m\r\n\r\n%s", testMark, eventsText(1, 3))
 	for _, proto := range []string{http11, http10} {
@@ -412,8 +417,8 @@
 	}
 }
 
-// A server that crashed closed its connection in a plain answer without framing, which was
-// taken for whole.
+// Guards against a crashed server that closed its connection in a plain answer without
+// framing, which was taken for whole.
 func TestAPlainAnswerThatACrashClosedIsNotWhole(t *testing.T) {
 	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: m\r\n\r\nhel", testMark)
 	for _, proto := range []string{http11, http10} {
@@ -427,8 +432,8 @@
 	}
 }
 
-// Guards against a plain answer that a crash broke off and that looks whole: its connection was
-// closed a moment before the process took no more of them.
+// Guards against a plain answer that a crash broke off and that looks whole: its connection
+// was closed shortly before the process stopped accepting connections.
 func TestAPlainAnswerThatWasClosedShortlyBeforeTheCrashIsNotWhole(t *testing.T) {
 	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: m\r\n\r\nhel", testMark)
 	for range 4 {
@@ -438,8 +443,8 @@
 	}
 }
 
-// A stream is broken off at each byte, in each framing and way: no piece of it looks whole, and
-// one that may go on comes whole, each event once.
+// A stream is broken off at each byte, in each framing and way: no part of it looks whole, and
+// one that may be resumed arrives whole, each event once.
 func TestAStreamBrokenOffAtAnyByte(t *testing.T) {
 	t.Parallel()
 	for _, p := range []answerPlan{
@@ -454,8 +459,8 @@
 	}
 }
 
-// brokenOffAtAnyByte breaks the stream off at each byte by the plan, before callers that speak
-// the protocol.
+// brokenOffAtAnyByte breaks the stream off at each byte by the plan, for callers of the
+// protocol.
 func brokenOffAtAnyByte(t *testing.T, p answerPlan, proto string) {
 	stream := eventsText(1, 2) + ": comment\n\nid: 3\r\ndata: e3\r\ndata: more\r\n\r\n" + eventsText(4, 4)
 	rest := map[string]string{"": stream, "1": stream[len(eventsText(1, 1)):], "2": stream[len(eventsText(1, 2)):], "3": eventsText(4, 4)}
@@ -479,11 +484,12 @@
 		return f.once(proto, path, "r")
 	}
 	for cut := range stream {
-		// A marked end keeps the connection: a close right after it would meet the next request.
+		// A marked end keeps the connection: a close right after it would meet the next
+		// request.
 		p.body = stream[:cut]
 		isMarked := p.framing != byConnection && !p.noEnd
 		isKnown := isMarked || p.framing == byConnection && cut > 0
-		// Nobody can know that an end between two events is not the last one.
+		// An end between two events cannot be told from the end of the stream.
 		mayLookWhole := isKnown && isBetween(stream, cut)
 		comment := qt.Commentf("%+v, %s", p, proto)
 		got := ask("/stream/")
@@ -497,7 +503,7 @@
 	}
 }
 
-// isBetween reports whether no event is under way at the byte of the stream.
+// isBetween reports whether the byte of the stream lies between two events.
 func isBetween(stream string, at int) bool {
 	for _, end := range []string{"\n\n", "\r\n\r", "\r\n\r\n", ": comment\n"} {
 		if strings.HasSuffix(stream[:at], end) {
--- a/transport/direct/harness_test.go
+++ b/transport/direct/harness_test.go
@@ -31,7 +31,7 @@
 	"goldcrestport/transport/platform"
 )
 
-// Headers of the dialect that these tests speak.
+// Headers of the dialect in these tests.
 const (
 	testID     = "X-Id"
 	testKey    = "X-Key"
@@ -93,7 +93,7 @@
 	now     mirror.Snapshot
 	changes chan mirror.Delta
 	down    bool
-	// calls counts the calls but those that keep the router's own entry.
+	// calls counts the calls except those that renew the router's own entry.
 	calls int
 	// refused are the requests that routers entered.
 	refused []quarantine.Entry
@@ -172,8 +172,8 @@
 	s.down = down
 }
 
-// backendServer plays a backend server; run answers each request on the raw
-// connection and reports whether the connection goes on.
+// backendServer simulates a backend server; run answers each request on the raw connection and
+// reports whether the connection is kept.
 type backendServer struct {
 	id, address string
 
@@ -234,8 +234,8 @@
 	return err == nil
 }
 
-// events streams events from one after the last that the caller has, up to n,
-// then ends the stream or breaks it off.
+// events streams the events after the last that the caller has, up to n, then ends the stream
+// or breaks it off.
 func events(w io.Writer, req *http.Request, n int, pause time.Duration, broken bool) bool {
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: m\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", testMark)
 	from, _ := strconv.Atoi(req.Header.Get(testLast))
@@ -254,7 +254,7 @@
 	return err == nil
 }
 
-// fixture is a router before backend servers.
+// fixture is a router with backend servers.
 type fixture struct {
 	*qt.C
 	router *Router
@@ -264,7 +264,7 @@
 	ended  chan struct{}
 }
 
-// testRoutes are the routes of every fixture, below one host.
+// testRoutes returns the routes of every fixture, under one host.
 func testRoutes() []routing.Route {
 	to := []routing.Target{{Service: "app", Weight: 1}}
 	const long = 3 * time.Second
@@ -299,7 +299,7 @@
 	return startWith(t, c, func(*settings.Direct, *testSource) {}, backends...)
 }
 
-// startPeer runs a router that exchanges with others.
+// startPeer runs a router that exchanges messages with others.
 func startPeer(t testing.TB, id string, c *routing.Config, backends ...*backendServer) *fixture {
 	return startWith(t, c, func(set *settings.Direct, _ *testSource) {
 		set.ID, set.Listen.Peers = id, freeAddress(qt.New(t))
@@ -310,7 +310,7 @@
 	return startLogged(t, c, log.NewNopLogger(), change, backends...)
 }
 
-// startLogged runs a router that writes its lines to the logger.
+// startLogged runs a router that logs to the logger.
 func startLogged(t testing.TB, c *routing.Config, logger log.Logger, change func(*settings.Direct, *testSource), backends ...*backendServer) *fixture {
 	f := &fixture{C: qt.New(t), stop: make(chan struct{}), ended: make(chan struct{})}
 	f.source = &testSource{now: mirror.Snapshot{Config: c, Servers: servers(backends...), Routers: map[string]mirror.Registration{}, Revision: 1}, changes: make(chan mirror.Delta, 16)}
@@ -339,26 +339,26 @@
 	return f
 }
 
-// testWarmup bounds cold servers to 8 requests a second at a rate of 2.
+// testWarmup limits cold servers to 8 requests a second at a rate of 2.
 func testWarmup() warmup.Config {
 	c := warmup.DefaultConfig()
 	c.Overrun, c.Slack = 1.5, 5
 	return c
 }
 
-// Ports of the tests lie below those that the kernel takes for outgoing connections,
-// one of which may be taken between the choice and the bind, and below those of the
-// fleets of bench/fleet, which may run beside.
+// The ports of the tests are below those that the kernel uses for outgoing connections, one of
+// which may be taken between the choice and the bind, and below those of the fleets of
+// bench/fleet, which may run at the same time.
 const (
 	firstPort = 10000
 	ports     = 10000
 )
 
-// handedOut are the ports that freeAddress returned: tests that run at the same time
-// choose before they bind.
+// handedOut are the ports that freeAddress returned: tests that run in parallel choose before
+// they bind.
 var handedOut sync.Map
 
-// freeAddress returns an address that nobody listens on, and that no other test got.
+// freeAddress returns an address that nobody listens on and that no other test got.
 func freeAddress(c *qt.C) string {
 	for range ports {
 		port := firstPort + rand.IntN(ports)
@@ -381,7 +381,7 @@
 	default:
 		close(f.stop)
 	}
-	// A second request to stop ends what is held at once.
+	// A second request to stop ends the requests in flight at once.
 	f.router.Abort()
 	<-f.ended
 }
@@ -407,7 +407,7 @@
 	f.Fatal("the router is not ready")
 }
 
-// ready asks as the balancer does.
+// ready queries the readiness as the load balancer does.
 func (f *fixture) ready() int {
 	resp, err := http.Get("http://" + f.set.Listen.Health + "/readyz")
 	if err != nil {
@@ -417,7 +417,7 @@
 	return resp.StatusCode
 }
 
-// reply is what a caller gets.
+// reply is an answer that a caller received.
 type reply struct {
 	status int
 	header http.Header
@@ -425,12 +425,12 @@
 	err    error
 }
 
-// call sends one request on a connection of its own.
+// call sends one request on its own connection.
 func (f *fixture) call(path, id string, headers ...string) reply {
 	return f.send(path, id, "body", headers...)
 }
 
-// send sends one request with the body on a connection of its own.
+// send sends one request with the body on its own connection.
 func (f *fixture) send(path, id, body string, headers ...string) reply {
 	req, err := http.NewRequest(http.MethodPost, "http://"+f.set.Listen.Callers+path, strings.NewReader(body))
 	f.Assert(err, qt.IsNil)
--- a/transport/direct/hear.go
+++ b/transport/direct/hear.go
@@ -11,7 +11,7 @@
 	"goldcrestport/protocol/digest"
 )
 
-// listen takes the other routers' digests.
+// listen receives the other routers' datagrams.
 func (r *Router) listen(conn *net.UDPConn) {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -25,7 +25,7 @@
 	}
 }
 
-// takeDatagram takes what another router sent.
+// takeDatagram processes a datagram from another router.
 func (r *Router) takeDatagram(conn *net.UDPConn, datagram []byte) error {
 	if crashreport.Is(datagram) {
 		return r.takeReport(datagram)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// passOn sends a message on to the other routers of this data centre.
+// passOn forwards a message to the other routers of this data centre.
 func (r *Router) passOn(conn *net.UDPConn, p digest.PassOn) {
 	r.metrics.passedOn.Add(1)
 	for id, to := range r.neighbours() {
@@ -78,7 +78,7 @@
 	return out
 }
 
-// hear takes one message of another router.
+// hear processes a gossip message of another router.
 func (r *Router) hear(m digest.Message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,18 +101,18 @@
 	}
 }
 
-// storeAnswersOthers notes that the store answered another router after the time.
-// One that this router has not reached since is back then: what lapsed in an outage
-// comes back from the time on, and not from when the word of it came, or from this router's
-// own next answer. The caller holds mu.
+// storeAnswersOthers records that the store answered another router after the given time. A
+// store that this router has not reached since is available again from that time: entries that
+// lapsed in the outage count from then, not from when the message arrived or from this
+// router's own next answer. The caller holds mu.
 func (r *Router) storeAnswersOthers(at time.Duration) {
 	if at > r.lostAt {
 		r.roster.StoreBack(wallTime(at))
 	}
 }
 
-// trust notes that the message's revision was the newest at the time. The
-// caller holds mu.
+// trust records that the message's revision was current at the given time. The caller holds
+// mu.
 func (r *Router) trust(at time.Duration, m digest.Message) {
 	if r.mirror.Revision() >= m.Revision && r.table.Load() != nil {
 		r.fresh.Confirm(at)
@@ -125,8 +125,8 @@
 	}
 }
 
-// reached notes what other routers vouched for, once this router knows it. The
-// caller holds mu.
+// reached confirms the pending revision that other routers reported as current, once this
+// router has it. The caller holds mu.
 func (r *Router) reached() {
 	if r.pending.revision != 0 && r.mirror.Revision() >= r.pending.revision && r.table.Load() != nil {
 		r.fresh.Confirm(r.pending.at)
@@ -134,7 +134,7 @@
 	}
 }
 
-// hearing returns the last message heard of each router.
+// hearing returns the sequence number of the last message received from each router.
 func (r *Router) hearing() map[string]uint32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/transport/direct/held_test.go
+++ b/transport/direct/held_test.go
@@ -13,7 +13,7 @@
 	"goldcrestport/standin/relay"
 )
 
-// healTime is the time that held bytes have to arrive once the path is whole.
+// healTime is the time in which delayed bytes arrive once the link works again.
 const healTime = 300 * time.Millisecond
 
 // behindLink puts a relay before the backend server and returns the server as routers know it.
@@ -24,7 +24,7 @@
 	return link, &backendServer{id: b.id, address: link.Addr()}
 }
 
-// sendHeld sends a request whose bytes the link to its server holds.
+// sendHeld sends a request whose bytes the link to its server delays.
 func sendHeld(f *fixture, link *relay.Relay, path string) <-chan reply {
 	f.Assert(f.call(path, "before", testLeft, "3000").status, qt.Equals, http.StatusOK)
 	link.Hold()
@@ -34,9 +34,10 @@
 	return got
 }
 
-// Guards against a request that reaches a server after it has left: the path to the server
-// held it, acknowledged, and the server left, by the store, before it answered. A request that
-// may be repeated goes on elsewhere instead, in the time in which leaving servers may get any.
+// Guards against a request that reaches a server after its shutdown: the link to the server
+// delayed it, acknowledged, and the server's entry was removed from the store before it
+// answered. A request that may be retried must go to another server instead, within the time
+// in which draining servers may receive any.
 func TestAnAttemptAtAServerThatLeavesGoesOnElsewhere(t *testing.T) {
 	leaving, other := newBackend(t, "i-1", ok), newBackend(t, "i-2", ok)
 	link, known := behindLink(t, leaving)
@@ -52,8 +53,8 @@
 	qt.Check(t, leaving.runs(), qt.Not(qt.Contains), "held")
 }
 
-// Guards against the same of a stream that goes on: the path to the server that was to go on
-// with it held the request, and the server left. It goes on at a third one.
+// Guards against the same fault with a resumed stream: the link to the server that was to
+// continue it delayed the request, and that server shut down. A third one continues it.
 func TestAResumedStreamDoesNotReachAServerThatLeft(t *testing.T) {
 	goOn := make(chan struct{})
 	first := newBackend(t, "i-1", func(w io.Writer, _ *http.Request) bool {
@@ -83,8 +84,8 @@
 	qt.Check(t, leaving.runs(), qt.HasLen, 0)
 }
 
-// Guards against the same of a request that may run once: it may not go on elsewhere, so that
-// its caller is told that it may have run.
+// Guards against the same fault with a request that may run only once: it may not be sent
+// elsewhere, so its caller is told that it may have run.
 func TestARequestThatMayRunOnceDoesNotReachAServerThatLeft(t *testing.T) {
 	leaving := newBackend(t, "i-1", ok)
 	link, known := behindLink(t, leaving)
@@ -98,8 +99,8 @@
 	qt.Check(t, leaving.runs(), qt.Not(qt.Contains), "held")
 }
 
-// Guards against a request that runs after the router that sent it has stopped: the path to
-// the server held it, and the router closed its connection.
+// Guards against a request that runs after the router that sent it has stopped: the link to
+// the server delayed it, and the router closed its connection.
 func TestARouterThatStopsLeavesNoRequestOnItsWay(t *testing.T) {
 	server := newBackend(t, "i-1", ok)
 	link, known := behindLink(t, server)
@@ -112,8 +113,9 @@
 	qt.Check(t, server.runs(), qt.Not(qt.Contains), "held")
 }
 
-// Guards against a server that gets work for a bound after the router heard, late, that the
-// store is back: the time for entries to come back counts from the store's answer.
+// Guards against a server that receives requests for a whole grace period after the router
+// learned, late, that the store is back: the time for entries to come back counts from the
+// store's answer.
 func TestAGraceBeginsWithTheStoresAnswer(t *testing.T) {
 	r := unserved(newBackend(t, "i-1", ok))
 	r.mu.Lock()
@@ -127,9 +129,9 @@
 	qt.Check(t, r.servers, qt.HasLen, 0)
 }
 
-// Guards against a request at a server that left while its router, which is in time, knew
-// nothing newer than the bound on leaving servers: the store is there, and only its word is
-// late. The caller is refused at once and comes back.
+// Guards against a request to a server that has shut down while its router, which is not late,
+// had no information newer than the bound on draining servers: the store is available, and
+// only its answer is late. The caller is refused at once and retries.
 func TestKnowledgeOlderThanTheBoundSendsNothing(t *testing.T) {
 	server := newBackend(t, "i-1", ok)
 	r := unserved(server)
@@ -139,8 +141,8 @@
 	qt.Check(t, w.Header().Get("Retry-After"), qt.Not(qt.Equals), "")
 }
 
-// Guards against a refusal of the first request after a quiet time: knowledge had grown old
-// while there was nothing to send, and the store tells what is new in some milliseconds.
+// Guards against a refusal of the first request after an idle period: the information became
+// too old while there was nothing to send, and the store answers within milliseconds.
 func TestTheFirstRequestAfterAQuietTimeWaitsForTheStore(t *testing.T) {
 	server := newBackend(t, "i-1", ok)
 	r := unserved(server)
--- a/transport/direct/homes_test.go
+++ b/transport/direct/homes_test.go
@@ -11,8 +11,8 @@
 	"goldcrestport/protocol/settings"
 )
 
-// Three regions, a route and a team with homes: both bind, a body reaches no server
-// elsewhere, and a request whose homes are all gone is refused at once.
+// Three regions, a route and a team with homes: both restrict the request, its body reaches no
+// server elsewhere, and a request whose homes are all gone is refused at once.
 func TestBodiesReachTheirHomesOnly(t *testing.T) {
 	north, south, west := newBackend(t, "i-north", ok), newBackend(t, "i-south", ok), newBackend(t, "i-west", ok)
 	c := testConfig(1)
--- a/transport/direct/incarnation_test.go
+++ b/transport/direct/incarnation_test.go
@@ -17,7 +17,7 @@
 	"goldcrestport/protocol/settings"
 )
 
-// lineBuffer keeps what a router logs.
+// lineBuffer keeps the lines that a router logs.
 type lineBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -37,7 +37,7 @@
 	return b.text.String()
 }
 
-// incarnationOf is the entry of a backend server that says when it began.
+// incarnationOf returns the entry of a backend server with its start time.
 func incarnationOf(b *backendServer, id string, incarnation roster.Incarnation) roster.Server {
 	return roster.Server{ID: id, Incarnation: incarnation, Address: b.address, Service: "app", Slots: 8}
 }
@@ -59,9 +59,9 @@
 	return known && s.Incarnation == incarnation
 }
 
-// A server that starts again under its id, at another address, gets the work that
-// the earlier process had, also when that one had announced its leaving; late
-// words of the earlier one change nothing, whoever tells them.
+// A server that restarts under its id, at another address, receives the requests that the
+// earlier process received, also if that one had announced its shutdown; late messages about
+// the earlier one have no effect, whoever sends them.
 func TestAServerThatStartsAgainUnderItsIDIsANewOne(t *testing.T) {
 	before, after := newBackend(t, "i-1", ok), newBackend(t, "i-1", ok)
 	f := startWith(t, testConfig(1), func(_ *settings.Direct, s *testSource) {
@@ -75,16 +75,16 @@
 	f.waitFor("the later process is not known", func() bool { return f.knows("i-1", 200) })
 	f.Check(f.call("/safe/", "r2").status, qt.Equals, http.StatusOK)
 	f.source.changes <- mirror.Delta{Servers: []roster.Server{leaving}, Revision: 4}
-	f.waitFor("the change did not come", func() bool { return f.router.known() == 4 })
+	f.waitFor("the change did not arrive", func() bool { return f.router.known() == 4 })
 	f.router.replace(mirror.Snapshot{Servers: []roster.Server{leaving}, Routers: map[string]mirror.Registration{}, Revision: 5})
 	f.Check(f.call("/safe/", "r3").status, qt.Equals, http.StatusOK)
 	f.Check(before.runs(), qt.DeepEquals, []string{"r1"})
 	f.Check(after.runs(), qt.DeepEquals, []string{"r2", "r3"})
 }
 
-// An entry that another writer spoilt ends the use of its server at once, also
-// while the store is away; what runs there ends well, other servers go on, one
-// line says so, and the server is back with its next sound entry.
+// An entry that another writer corrupted ends the use of its server at once, also while the
+// store is unavailable; runs there end regularly, other servers are not affected, the event is
+// logged once, and the server is used again with its next valid entry.
 func TestASpoiltEntryEndsTheUseOfItsServerOnly(t *testing.T) {
 	slow := newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool {
 		time.Sleep(300 * time.Millisecond)
@@ -106,11 +106,11 @@
 	}
 	f.Check((<-running).status, qt.Equals, http.StatusOK)
 	f.Check(other.runs(), qt.HasLen, 4)
-	// The same revision read again says nothing new.
+	// Reading the same revision again has no effect.
 	f.router.replace(mirror.Snapshot{Servers: []roster.Server{incarnationOf(other, "i-2", 100)}, Invalid: []mirror.InvalidEntry{spoilt}, Routers: map[string]mirror.Registration{}, Revision: 3})
 	f.Check(f.router.metrics.invalid.Value(), qt.Equals, int64(1))
 	f.Check(strings.Count(lines.String(), "event=entry_invalid key=key/i-1 revision=2"), qt.Equals, 1)
-	// Who asks this router is told of it, too.
+	// Routers that ask this one are informed of it, too.
 	answer, err := f.router.mirrored(changesRequest{})
 	f.Assert(err, qt.IsNil)
 	f.Check(answer.Whole.Invalid, qt.DeepEquals, []mirror.InvalidEntry{spoilt})
--- a/transport/direct/intake_test.go
+++ b/transport/direct/intake_test.go
@@ -13,13 +13,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// from returns a client whose connections come from the address, each for one request.
+// from returns a client whose connections come from the address, with one request each.
 func from(address string) *http.Client {
 	dialer := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(address)}}
 	return &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialer.DialContext}}
 }
 
-// ask sends one request of the key's team, and returns its status.
+// ask sends a request of the team with the key and returns its status.
 func ask(f *fixture, with *http.Client, key, id string) int {
 	req, err := http.NewRequest(http.MethodPost, "http://"+f.set.Listen.Callers+"/keyed/", strings.NewReader("body"))
 	f.Assert(err, qt.IsNil)
@@ -34,8 +34,8 @@
 	return resp.StatusCode
 }
 
-// Guards against callers who take every place before a decision with connections on which
-// they send nothing, or half a request, and so keep the callers of a known team out.
+// Guards against callers who occupy every connection before admission with connections on
+// which they send nothing, or half a request, and so keep the callers of a known team out.
 func TestCallersWhoSendNothingKeepNoOthersOut(t *testing.T) {
 	f := start(t, testConfig(1), newBackend(t, "i-1", ok))
 	known := from("127.0.0.2")
@@ -74,5 +74,5 @@
 	f.Check(served, qt.Equals, requests)
 	f.Check(slowest < time.Second, qt.IsTrue, qt.Commentf("%v", slowest))
 	f.Check(f.router.metrics.shed.Value() > 0, qt.IsTrue)
-	f.waitFor("the flood is over and connections are still dealt out", func() bool { return !f.router.gate.Chooses() })
+	f.waitFor("the flood is over and connections are still selected", func() bool { return !f.router.gate.Chooses() })
 }
--- a/transport/direct/invalid.go
+++ b/transport/direct/invalid.go
@@ -6,12 +6,12 @@
 	"goldcrestport/coordination/mirror"
 )
 
-// maxNoted bounds the invalid entries that a router remembers to have logged;
-// beyond it lines may come again, within the bound of the log.
+// maxNoted bounds the logged invalid entries that a router remembers; beyond it lines may
+// repeat, within the rate limit of the log.
 const maxNoted = 1024
 
-// invalidate takes the entries that cannot be used. Requests that run at their
-// servers go on; no new ones are sent there. The caller holds mu.
+// invalidate handles entries that cannot be used. Requests that run at their servers continue;
+// no new ones are sent there. The caller holds mu.
 func (r *Router) invalidate(entries []mirror.InvalidEntry) {
 	for _, one := range entries {
 		if one.Server != "" {
@@ -21,8 +21,7 @@
 	}
 }
 
-// noteInvalid counts and logs an entry once for each revision of it. The caller
-// holds mu.
+// noteInvalid counts and logs an entry once for each of its revisions. The caller holds mu.
 func (r *Router) noteInvalid(one mirror.InvalidEntry) {
 	if r.noted[one.Key] == one.Revision {
 		return
--- a/transport/direct/keep.go
+++ b/transport/direct/keep.go
@@ -7,16 +7,17 @@
 	"goldcrestport/coordination/quarantine"
 )
 
-// Times of the entries in the store by which refused requests outlive all routers.
+// Times for the entries in the store by which refused requests survive a restart of all
+// routers.
 const (
-	// keepLife is the life of an entry without a renewal: the longest that the
-	// users' store allows.
+	// keepLife is the lifetime of an entry without a renewal: the longest that the users'
+	// store allows.
 	keepLife = 10 * time.Minute
-	// keepEvery is the time between looks at what is to be entered or removed.
+	// keepEvery is the interval between checks for entries to write or remove.
 	keepEvery = time.Second
 )
 
-// takeStored takes the refused requests that the store has. The caller holds mu.
+// takeStored applies the refused requests that are in the store. The caller holds mu.
 func (r *Router) takeStored(entries []quarantine.Entry) {
 	if len(entries) > 0 {
 		r.quarantine.Stored(time.Now(), entries)
@@ -24,8 +25,8 @@
 	}
 }
 
-// keepQuarantine enters in the store what is refused, and removes what is free again,
-// as far as it is for this router to do. What fails is tried again.
+// keepQuarantine writes the refused requests to the store and removes those that were cleared,
+// as far as this router is responsible for them. What fails is retried.
 func (r *Router) keepQuarantine(ctx context.Context) {
 	each(ctx, keepEvery, func(now time.Time) {
 		r.mu.Lock()
@@ -58,7 +59,7 @@
 	}
 }
 
-// storeCall makes one bounded call and counts its failure. It reports whether it
+// storeCall makes one call with a timeout and counts its failure. It reports whether it
 // succeeded.
 func (r *Router) storeCall(ctx context.Context, call func(context.Context) error) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/transport/direct/knowledge.go
+++ b/transport/direct/knowledge.go
@@ -10,32 +10,34 @@
 	"goldcrestport/coordination/staleness"
 )
 
-// errStale is of a server that must not be sent to by knowledge as old as this router's.
-var errStale = errors.New("it is not known whether the server has left")
+// errStale means that this router's information is too old to send to the server.
+var errStale = errors.New("the information about draining servers is too old")
 
-// knowledge is what this router knows of who leaves. The caller holds mu.
+// knowledge describes how current this router's information about draining servers is. The
+// caller holds mu.
 func (r *Router) knowledge() staleness.Knowledge {
 	k := staleness.Knowledge{StoreAway: r.roster.Away(), Saturated: r.load.saturated.Load()}
 	k.Age, k.Known = r.fresh.Age(bootTime())
 	return k
 }
 
-// isBlind reports whether the router has too much work to know which servers leave.
+// isBlind reports whether the router is too saturated to know which servers are draining.
 func (r *Router) isBlind() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.cfg.Staleness.IsBlind(r.knowledge())
 }
 
-// knowledgeWait bounds the time for which a request waits for younger knowledge, which the store
-// usually gives in some milliseconds; knowledgeStep is the time between two looks at it.
+// knowledgeWait bounds the time for which a request waits for more recent information, which
+// the store usually gives within a few milliseconds; knowledgeStep is the polling interval.
 const (
 	knowledgeWait = 150 * time.Millisecond
 	knowledgeStep = 5 * time.Millisecond
 )
 
-// awaitKnowledge reports whether the server may be sent the request by what is known of who
-// leaves. A router that had nothing to send for a while may have to ask the store first.
+// awaitKnowledge reports whether the information about draining servers is recent enough to
+// send the request to the server. A router that had nothing to send for a while may have to
+// query the store first.
 func (c *call) awaitKnowledge(ctx context.Context, server roster.Server) bool {
 	end := time.Now().Add(min(knowledgeWait, c.left()))
 	for !c.r.mayRelyOn(server) {
@@ -47,15 +49,16 @@
 	return true
 }
 
-// mayRelyOn is mayRely for who does not hold mu.
+// mayRelyOn is mayRely for callers that do not hold mu.
 func (r *Router) mayRelyOn(server roster.Server) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.mayRely(server)
 }
 
-// mayRely reports whether the server may be sent a request by what is known of who leaves.
-// The store is asked before that is too old. The caller holds mu.
+// mayRely reports whether the information about draining servers is recent enough to send a
+// request to the server. The store is queried before the information is too old. The caller
+// holds mu.
 func (r *Router) mayRely(server roster.Server) bool {
 	k := r.knowledge()
 	if r.cfg.Staleness.Asks(k) {
@@ -70,7 +73,7 @@
 	return r.cfg.Staleness.MaySend(k)
 }
 
-// wantKnowledge lets the duty that follows the store ask it at once.
+// wantKnowledge makes the task that follows the store query it at once.
 func (r *Router) wantKnowledge() {
 	select {
 	case r.wanted <- struct{}{}:
--- a/transport/direct/leave.go
+++ b/transport/direct/leave.go
@@ -9,15 +9,13 @@
 	"goldcrestport/transport/duty"
 )
 
-// shutdownTimeout bounds the closing of the callers' connections once nothing
-// is held.
+// shutdownTimeout bounds the closing of the callers' connections once no request is in flight.
 const shutdownTimeout = 200 * time.Millisecond
 
-// leave goes through the phases of a graceful shutdown.
+// leave runs the phases of a graceful shutdown.
 func (r *Router) leave(srv *http.Server) {
 	cfg := leave.DefaultConfig()
-	// Everything has ended when the bound is over, as the process is killed
-	// then.
+	// Everything must have ended within the bound, as the process is killed then.
 	cfg.Linger, cfg.Ending = r.set.Linger(), shutdownTimeout
 	cfg.Bound = max(r.set.Stop.Bound.D()-2*shutdownTimeout, cfg.Linger)
 	r.event("leaving", "held", r.held.Load())
@@ -25,7 +23,7 @@
 	duty.Leave(cfg, r.held.Load, r.abort, func(p leave.Phase) { r.enter(p, srv) })
 }
 
-// enter begins a phase of leaving.
+// enter starts a phase of the shutdown.
 func (r *Router) enter(p leave.Phase, srv *http.Server) {
 	switch p {
 	case leave.Refusing:
--- a/transport/direct/leaving_test.go
+++ b/transport/direct/leaving_test.go
@@ -1,12 +1,12 @@
 package direct
 
-// What was seen: a backend server got requests 11.6 s after a router had passed on an
-// answer of it that said that it leaves. How it came about: the store answered nobody
-// for 13 s, so that the server's entry could not say so; its last entry, that it is
-// ready, counted all the while and for 2 s more. What caused it: what an answer says of
-// its server was not read; only the store's entries could end a server's use. What
-// proved it: with nothing in its way, no late router and no entry read anew, each of nine
-// ways to say it changed nothing here; read at the one place where answers arrive, all do.
+// A backend server received requests 11.6 s after a router had relayed an answer of it that
+// announced its shutdown. The store answered no router for 13 s, so the server's entry could
+// not be updated; its last entry, which said that it is ready, counted all the time and for 2
+// s more. The cause was that what an answer says about its server was not read; only the
+// store's entries could end the use of a server. Without network delays, late routers or
+// entries read again, each of nine ways to announce a shutdown had no effect here; once they
+// are read at the one place where answers arrive, all have.
 
 import (
 	"fmt"
@@ -25,34 +25,34 @@
 	"goldcrestport/protocol/settings"
 )
 
-// leavingBound is the time after an answer that says that its server leaves from
-// which the router sends that one nothing.
+// leavingBound is the time after an answer that announces its server's shutdown from which the
+// router sends that server nothing.
 const leavingBound = 100 * time.Millisecond
 
-// leavingHead is what a leaving server adds to the heads of its answers.
+// leavingHead is what a draining server adds to the heads of its answers.
 const leavingHead = testLeaves + ": 1\r\n"
 
-// answering returns a server's way to answer with the status and headers.
+// answering returns a server's answer function with the status and headers.
 func answering(status int, headers string) func(io.Writer, *http.Request) bool {
 	return func(w io.Writer, req *http.Request) bool {
 		return respond(w, req, status, leavingHead+headers, "hello")
 	}
 }
 
-// streaming answers with the head of a stream that goes on for longer than the test.
+// streaming answers with the head of a stream that outlasts the test.
 func streaming(w io.Writer, _ *http.Request) bool {
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: m\r\n%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", testMark, leavingHead)
 	time.Sleep(3 * time.Second)
 	return false
 }
 
-// breakingOff ends its answer after the head.
+// breakingOff breaks its answer off after the head.
 func breakingOff(w io.Writer, req *http.Request) bool {
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: m\r\n%sContent-Length: 50\r\n\r\nsome", testID, req.Header.Get(testID), testMark, leavingHead)
 	return false
 }
 
-// doubling answers soundly, and once more with the word that it leaves, where the
+// doubling answers correctly, and then announces the shutdown in a second answer, where the
 // answer to the next request is expected.
 func doubling(w io.Writer, req *http.Request) bool {
 	ok(w, req)
@@ -61,8 +61,8 @@
 	return err == nil
 }
 
-// A server says in an answer that it leaves while the store is deaf. It gets nothing
-// from then on: not from callers, not by repeats, not after the store is back with the
+// A server announces its shutdown in an answer while the store receives nothing. It must get
+// no further request: not from callers, not by retries, not after the store is back with the
 // entry as it was, and not after that entry lapsed and came back.
 func TestAServerThatSaysThatItLeavesGetsNoMore(t *testing.T) {
 	for name, tc := range map[string]struct {
@@ -85,7 +85,7 @@
 			f := start(t, testConfig(1), leaves, stays)
 			f.source.setDown(true)
 			go f.call(tc.path, "first")
-			f.waitFor("the server that leaves got nothing", func() bool { return len(leaves.runs()) > 0 })
+			f.waitFor("the draining server received no request", func() bool { return len(leaves.runs()) > 0 })
 			if name == "a second answer" {
 				// It is read before the answer to the next request.
 				f.call(tc.path, "second")
@@ -106,11 +106,11 @@
 	}
 }
 
-// loadCallers is the number of callers of loadFor: more than what keeps one server
-// busier than another that holds a stream.
+// loadCallers is the number of callers of loadFor: more than keep one server busier than
+// another that has a stream open.
 const loadCallers = 4
 
-// loadFor sends requests of some callers for the time, all of which must be served.
+// loadFor sends requests of several callers for the time, all of which must be served.
 func (f *fixture) loadFor(d time.Duration) {
 	f.Helper()
 	var callers sync.WaitGroup
@@ -124,14 +124,14 @@
 	callers.Wait()
 }
 
-// slowly answers well after a few milliseconds.
+// slowly answers correctly after a few milliseconds.
 func slowly(w io.Writer, req *http.Request) bool {
 	time.Sleep(5 * time.Millisecond)
 	return ok(w, req)
 }
 
-// The word is of the process that said it: a later one under its id gets work, also at
-// its address.
+// The announcement concerns only the process that made it: a later one under its id receives
+// requests, also at its address.
 func TestALaterProcessOfAServerThatLeftGetsWork(t *testing.T) {
 	var later atomic.Bool
 	one := newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool {
@@ -151,8 +151,8 @@
 	f.Check(f.call("/safe/", "r3").status, qt.Equals, http.StatusOK)
 }
 
-// A router that has not asked the server hears from the one that did, with what they
-// tell each other anyway.
+// A router that has sent the server nothing learns of the shutdown from the one that did,
+// through their regular gossip.
 func TestOtherRoutersHearThatAServerLeaves(t *testing.T) {
 	leaves, stays := newBackend(t, "i-1", answering(http.StatusOK, testMark+": m\r\n")), newBackend(t, "i-2", slowly)
 	first, second := startPeer(t, "first", testConfig(1), leaves, stays), startPeer(t, "second", testConfig(1), leaves, stays)
@@ -161,13 +161,13 @@
 	first.meet(second)
 	second.meet(first)
 	first.Check(first.call("/safe/", "r1").status, qt.Equals, http.StatusOK)
-	second.waitFor("the other router did not hear it", func() bool { return !second.knows("i-1", 0) })
+	second.waitFor("the other router did not receive it", func() bool { return !second.knows("i-1", 0) })
 	second.loadFor(leavingBound)
 	second.Check(leaves.runs(), qt.HasLen, 1)
 }
 
 // A request was placed at a server, and while its connection is opened another answer
-// says that the server leaves: it is not sent.
+// announces the server's shutdown: the request is not sent.
 func TestWhatWasPlacedIsNotSentToAServerThatLeaves(t *testing.T) {
 	server := newBackend(t, "i-1", ok)
 	r := informed(server)
@@ -180,8 +180,8 @@
 	qt.Check(t, r.mayBegin(d.Run, one), qt.ErrorIs, errLeft)
 }
 
-// Another server has the address, and says that it leaves and wants nothing: that is
-// nothing that the one which was meant said.
+// Another server has the address and announces its shutdown and a back-off: that says nothing
+// about the intended server.
 func TestAnotherServersWordSaysNothingOfTheOneThatWasMeant(t *testing.T) {
 	var other atomic.Bool
 	other.Store(true)
@@ -194,10 +194,11 @@
 	f := start(t, testConfig(1), b)
 	f.Check(f.call("/safe/", "r1").status, qt.Equals, http.StatusServiceUnavailable)
 	other.Store(false)
-	f.waitFor("the server that was meant gets nothing", func() bool { return f.call("/safe/", "r2").status == http.StatusOK })
+	f.waitFor("the intended server receives no requests", func() bool { return f.call("/safe/", "r2").status == http.StatusOK })
 }
 
-// A server ends after it said so: that is no crash, and nothing that ran there is blamed.
+// A server ends after it announced its shutdown: that is no crash, and no request that ran
+// there gets a strike.
 func TestTheEndOfAServerThatSaidThatItLeavesIsNoCrash(t *testing.T) {
 	for _, said := range []bool{false, true} {
 		server := newBackend(t, "i-1", ok)
--- a/transport/direct/left_test.go
+++ b/transport/direct/left_test.go
@@ -35,8 +35,8 @@
 	return caller, accepted
 }
 
-// unserved returns a router that knows the server and is not served, so that its
-// lateness and the age of its knowledge stay as they are set.
+// unserved returns a router that knows the server but does not run, so that its lateness and
+// the age of its information stay as they are set.
 func unserved(server *backendServer) *Router {
 	cfg := Config{Admission: admission.DefaultConfig(), Roster: roster.DefaultConfig(), Backend: backend.DefaultConfig(), Staleness: staleness.DefaultConfig(), Freshness: 5 * time.Second}
 	r := New(settings.DefaultDirect(), cfg, nil, testDialect{}, log.NewNopLogger())
@@ -45,14 +45,15 @@
 	return r
 }
 
-// informed is an unserved router that knows just now who leaves.
+// informed returns an unserved router whose information about draining servers is current.
 func informed(server *backendServer) *Router {
 	r := unserved(server)
 	r.fresh.Confirm(bootTime())
 	return r
 }
 
-// sendBy sends a request through a router whose knowledge of who leaves has the age.
+// sendBy sends a request through a router whose information about draining servers has the
+// given age.
 func sendBy(r *Router, age time.Duration) *httptest.ResponseRecorder {
 	r.fresh.Confirm(bootTime() - age)
 	req := httptest.NewRequest(http.MethodPost, "/safe/", http.NoBody)
@@ -66,10 +67,10 @@
 	return w
 }
 
-// Pattern: a flood makes a small router read the others' messages three seconds
-// late, while servers are replaced one after the other. Ground: seen on the
-// users' grown site; requests went to servers that had announced their leaving
-// 3.5 s before. A router that is in time goes on through an outage of the store.
+// A flood makes a small router read the other routers' messages three seconds late while
+// servers are replaced one after the other. On one site requests were sent to servers that had
+// announced their shutdown 3.5 s before. A router that is not late continues through an outage
+// of the store.
 func TestASaturatedRouterThatMissesChangesSendsNothing(t *testing.T) {
 	for _, tc := range []struct {
 		saturated, away bool
@@ -94,10 +95,10 @@
 	}
 }
 
-// Pattern: a flooded router reads the store's answer after the call's bound, while
-// a server leaves and its entry goes. Ground: seen on the users' grown site; the
-// router took its own timeout for an outage, in which entries lapse, and sent to
-// the server for four seconds more. A timeout of a router in time is an outage.
+// A flooded router reads the store's answer after the call's timeout, while a server shuts
+// down and its entry is removed. On one site the router took its own timeout for an outage, in
+// which entries lapse, and sent to the server for four seconds more. A timeout of a router
+// that is not late does count as an outage.
 func TestASaturatedRoutersTimeoutIsNoOutage(t *testing.T) {
 	for _, saturated := range []bool{true, false} {
 		r := unserved(newBackend(t, "i-1", ok))
@@ -110,10 +111,9 @@
 	}
 }
 
-// Pattern: a flooded router takes half a second between the first look at a
-// caller and the send; the caller gave up meanwhile, after its request had lain
-// unread for seconds. Ground: seen on the users' large site, nine requests that
-// were sent on half a second after their callers had left.
+// A flooded router takes half a second between the first check of a caller and the send; the
+// caller gave up meanwhile, after its request had waited unread for seconds. On one site nine
+// requests were sent half a second after their callers had disconnected.
 func TestALateRouterLooksAgainBeforeItSends(t *testing.T) {
 	for _, tc := range []struct {
 		left bool
@@ -125,7 +125,7 @@
 		caller, accepted := pair(t)
 		if tc.left {
 			qt.Assert(t, caller.Close(), qt.IsNil)
-			time.Sleep(20 * time.Millisecond) // until the end of the connection is there
+			time.Sleep(20 * time.Millisecond) // until the end of the connection has arrived
 		}
 		req := httptest.NewRequest(http.MethodPost, "/safe/", http.NoBody)
 		req = req.WithContext(callerconn.WithConn(req.Context(), accepted))
--- a/transport/direct/load.go
+++ b/transport/direct/load.go
@@ -12,28 +12,28 @@
 	"goldcrestport/transport/lateness"
 )
 
-// load follows how late this process reads its input.
+// load tracks how late this process reads its input.
 type load struct {
 	// saturated tells that the processor has more work than it can do.
 	saturated atomic.Bool
-	// away tells that the router is out of the balancer's rotation.
+	// away tells that the router is out of the load balancer's rotation.
 	away atomic.Bool
 	// late is the mean lateness in nanoseconds.
 	late atomic.Int64
-	// most is the greatest number of streams; 0 for no bound.
+	// most is the maximum number of streams; 0 for no bound.
 	most atomic.Int64
-	// growth is the collector's target in force. Only the duty that measures uses it.
+	// growth is the garbage collector's current target. Only the task that measures uses it.
 	growth int
 
 	mu sync.Mutex
-	// streams is the number of streams held, of all teams and of each.
+	// streams is the number of open streams in total, and byTeam that of each team.
 	streams int
 	byTeam  map[string]int
-	// rotation decides, with the neighbours' word, whether the router is away.
+	// rotation decides, with the neighbours' messages, whether the router is out of rotation.
 	rotation *rotation.State
 }
 
-// setPeriod tells how often routers hear each other.
+// setPeriod sets how often routers send gossip.
 func (r *Router) setPeriod(period time.Duration) {
 	r.load.mu.Lock()
 	r.load.rotation.SetPeriod(period)
@@ -43,15 +43,16 @@
 	r.admission.SetGossipPeriod(period)
 }
 
-// heard takes what a router of the same data centre told.
+// heard processes the rotation state that a router of the same data centre sent.
 func (l *load) heard(now time.Time, router string, w rotation.Word) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rotation.Heard(now, router, w)
 }
 
-// rotationWord returns what this router tells its neighbours. One that is not ready for
-// another reason than its load is away, and will not return for another one.
+// rotationWord returns the rotation state that this router sends its neighbours. A router that
+// is unready for another reason than its load is out of rotation, and does not return to make
+// room for another one.
 func (r *Router) rotationWord(now time.Time) rotation.Word {
 	if r.ready() != nil && !r.load.away.Load() {
 		return rotation.Word{Away: time.Millisecond, Late: true}
@@ -61,8 +62,8 @@
 	return r.load.rotation.Word(now)
 }
 
-// rotate takes the state of the processor. It reports whether the router left the
-// rotation or is back.
+// rotate applies the state of the processor. It reports whether the router left the rotation
+// or returned to it.
 func (l *load) rotate(now time.Time, late, calm bool) (changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +72,7 @@
 	return changed
 }
 
-// take holds one more stream of the team if the router may.
+// take opens one more stream of the team if the limits allow it.
 func (l *load) take(team string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +87,7 @@
 	return true
 }
 
-// release ends one stream of the team.
+// release closes one stream of the team.
 func (l *load) release(team string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,14 +98,14 @@
 	}
 }
 
-// held returns the number of streams.
+// held returns the number of open streams.
 func (l *load) held() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.streams
 }
 
-// watchLoad measures until ctx ends.
+// watchLoad measures the load until ctx ends.
 func (r *Router) watchLoad(ctx context.Context) {
 	tracker, limit := saturation.New(saturation.DefaultConfig()), saturation.NewLimit(saturation.DefaultLimitConfig())
 	err := lateness.Watch(ctx, func(now time.Time, late time.Duration) { r.observeLoad(tracker, limit, now, late) })
@@ -113,7 +114,7 @@
 	}
 }
 
-// observeLoad takes one measurement.
+// observeLoad applies one measurement.
 func (r *Router) observeLoad(tracker *saturation.Tracker, limit *saturation.Limit, now time.Time, late time.Duration) {
 	changed := tracker.Observe(late)
 	r.load.saturated.Store(tracker.Saturated())
@@ -137,8 +138,8 @@
 	}
 }
 
-// selfCheck lets the decisions look whether this router is impaired, by whether it reads late
-// and by what they know.
+// selfCheck lets the admission check whether this router is impaired, by whether it reads late
+// and by what it receives.
 func (r *Router) selfCheck(now time.Time, late bool) {
 	r.mu.Lock()
 	r.admission.SetLate(late)
@@ -150,15 +151,15 @@
 	}
 }
 
-// gatherPerLate is the time for which events are gathered for each unit of the
-// mean lateness: a router at rest passes them on at once.
+// gatherPerLate is how long events are gathered for each unit of the mean lateness: a router
+// under low load relays them at once.
 const gatherPerLate = 12
 
-// gatherShare is the part of the time in which an event is not late for which
-// it may be gathered; the rest is for its way and the router's lateness.
+// gatherShare is the share of the allowed event delay for which an event may be gathered; the
+// rest covers the network and the router's lateness.
 const gatherShare = 0.6
 
-// gatherTime is for how long events of a stream are gathered now.
+// gatherTime is how long events of a stream are currently gathered.
 func (r *Router) gatherTime() time.Duration {
 	late := time.Duration(r.load.late.Load())
 	return min(gatherPerLate*late, time.Duration(gatherShare*float64(r.set.EventDelay.D())))
--- a/transport/direct/metrics.go
+++ b/transport/direct/metrics.go
@@ -23,21 +23,21 @@
 	closedIdle  *expvar.Int
 	invalid     *expvar.Int
 	shed        *expvar.Int
-	// backoffs counts answers that turned a request away for a time.
+	// backoffs counts refusals by which a server requested a back-off.
 	backoffs *expvar.Int
-	// invalidAnswers counts answers that said of their server what cannot be read.
+	// invalidAnswers counts answers with information about their server that cannot be parsed.
 	invalidAnswers *expvar.Int
 	crashes        *expvar.Int
 	confirmed      *expvar.Int
 	cleared        *expvar.Int
 	latency        *observe.Times
-	// abandoned counts attempts that were given up after their first byte, abandonedUnacked
-	// those of them with bytes on their way; knowledge holds how old the knowledge of who
-	// leaves was at first bytes.
+	// abandoned counts attempts abandoned after their first byte, abandonedUnacked those among
+	// them with unacknowledged bytes; knowledge holds the age of the router's information
+	// about draining servers at first bytes.
 	abandoned        *expvar.Int
 	abandonedUnacked *expvar.Int
 	knowledge        *observe.Times
-	// answers counts the answers of servers by framing, end and what that means.
+	// answers counts servers' answers by framing, end and verdict.
 	answers *expvar.Map
 }
 
@@ -109,20 +109,20 @@
 	return m
 }
 
-// inQuarantine reads a number of the quarantine's.
+// inQuarantine reads a count from the quarantine state.
 func (r *Router) inQuarantine(number func(*quarantine.State) int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return number(r.quarantine)
 }
 
-// CountLost makes the number of log lines known that were lost because the
-// reader of the log stalled. It must be called before Serve.
+// CountLost registers a metric for log lines that were lost because the reader of the log
+// stalled. It must be called before Serve.
 func (r *Router) CountLost(lost func() int64) {
 	r.metrics.vars.Func("log_lines_lost", func() any { return lost() })
 }
 
-// completed counts an answer that was passed on whole.
+// completed counts an answer that was relayed whole.
 func (m *metrics) completed(c *call) {
 	m.outcomes.Add("completed", 1)
 	m.latency.Record(c.service, time.Now(), time.Since(c.received))
--- a/transport/direct/overdue_test.go
+++ b/transport/direct/overdue_test.go
@@ -16,8 +16,9 @@
 	"goldcrestport/transport/callerconn"
 )
 
-// Guards against requests that are sent on after their deadline: a request's bytes lie at
-// a router that reads nothing for a time, and the deadline counted from the reading.
+// Guards against requests that are sent on after their deadline: a request's bytes wait in the
+// socket buffer of a router that reads nothing for a time, and the deadline was counted from
+// the reading.
 func TestARequestThatLayUnreadPastItsDeadlineIsNotSent(t *testing.T) {
 	const places = 2
 	f, h := startHolding(t, places)
@@ -38,7 +39,7 @@
 	}
 }
 
-// departing is a dialect at whose last step before the send something happens.
+// departing is a dialect that calls a function at the last step before the send.
 type departing struct {
 	testDialect
 	then func()
@@ -49,8 +50,8 @@
 	return d.testDialect.Outgoing(from, call)
 }
 
-// Guards against requests that are sent on after their callers left: what was looked at
-// last was the caller, some time before the first byte to the server.
+// Guards against requests that are sent on after their callers disconnected: the caller was
+// last checked some time before the first byte to the server.
 func TestACallerThatLeavesBeforeTheFirstByteIsNotServed(t *testing.T) {
 	for _, tc := range []struct {
 		leaves bool
@@ -62,7 +63,7 @@
 		r.dialect = departing{then: func() {
 			if tc.leaves {
 				_ = caller.Close()
-				time.Sleep(20 * time.Millisecond) // until the end of the connection is there
+				time.Sleep(20 * time.Millisecond) // until the end of the connection has arrived
 			}
 		}}
 		req := httptest.NewRequest(http.MethodPost, "/safe/", http.NoBody)
--- a/transport/direct/pack.go
+++ b/transport/direct/pack.go
@@ -9,16 +9,16 @@
 	"goldcrestport/protocol/packed"
 )
 
-// Records of the store's entries are packed before they go to another router: they
-// repeat their names, and hundreds of routers take them at one moment.
+// Records of the store's entries are compressed before they are sent to another router: their
+// field names repeat, and hundreds of routers fetch them at the same time.
 const (
-	// packFrom is the size from which a record is packed, in bytes.
+	// packFrom is the size in bytes from which a record is compressed.
 	packFrom = 1 << 10
-	// maxUnpacked bounds what is unpacked, in bytes.
+	// maxUnpacked bounds the size of an unpacked record, in bytes.
 	maxUnpacked = 32 << 20
 )
 
-// pack returns the record as it travels.
+// pack returns the record in its wire form.
 func pack(record []byte) []byte {
 	if len(record) < packFrom {
 		return record
@@ -26,30 +26,30 @@
 	return packed.Pack(record, packed.Fast)
 }
 
-// unpack reads a record that was sent, packed or not.
+// unpack decodes a received record, packed or not.
 func unpack(data []byte, into any) error {
 	record, err := packed.Unpack(data, maxUnpacked)
 	if err != nil {
 		return err
 	}
-	return errors.Wrap(json.Unmarshal(record, into), "record of another router")
+	return errors.Wrap(json.Unmarshal(record, into), "decoding the record of another router")
 }
 
-// packedAnswers keeps the last packed answer: when much changes at once, all other
-// routers ask for the same.
+// packedAnswers caches the last packed answer: when much changes at once, all other routers
+// ask for the same one.
 type packedAnswers struct {
 	mu     sync.Mutex
 	key    answerKey
 	packed []byte
 }
 
-// answerKey tells answers apart.
+// answerKey identifies an answer.
 type answerKey struct {
 	reached, have, version uint64
 	settling               bool
 }
 
-// pack returns the answer to the request as it travels.
+// pack returns the answer to the request in its wire form.
 func (p *packedAnswers) pack(want changesRequest, answer *changesAnswer) (*changesAnswer, error) {
 	key := answerKey{answer.revision(), want.Have, want.Version, answer.Settling}
 	p.mu.Lock()
@@ -64,7 +64,7 @@
 	return &changesAnswer{Packed: p.packed}, nil
 }
 
-// unpack makes a packed answer plain.
+// unpack decodes a packed answer in place.
 func (a *changesAnswer) unpack() error {
 	if len(a.Packed) == 0 {
 		return nil
--- a/transport/direct/pack_test.go
+++ b/transport/direct/pack_test.go
@@ -13,7 +13,7 @@
 	"goldcrestport/state/routing"
 )
 
-// manyServers is a third of the servers of a large fleet, which come back at once.
+// manyServers returns n servers that come back at once, such as a third of a large fleet's.
 func manyServers(n int) []roster.Server {
 	var out []roster.Server
 	for i := range n {
@@ -22,8 +22,8 @@
 	return out
 }
 
-// Pattern: a data centre of a thousand servers is lost and comes back, and each of
-// hundreds of routers takes the changes of one watcher.
+// A data centre of a thousand servers is lost and comes back, and each of hundreds of routers
+// fetches the changes from one watcher.
 func TestTheChangesOfALostDataCentreTravelPacked(t *testing.T) {
 	c := qt.New(t)
 	d := mirror.Delta{Revision: 9, Servers: manyServers(1000)}
@@ -39,7 +39,7 @@
 	c.Check(packed.Changes.Servers, qt.DeepEquals, d.Servers)
 	c.Check(packed.Settling, qt.IsTrue)
 
-	// Who has other changes already gets what it asks for.
+	// A router with another revision gets the answer to its own request.
 	newer := &changesAnswer{Whole: &mirror.Snapshot{Config: &routing.Config{Version: 2}, Revision: 9}}
 	packed, err = answers.pack(changesRequest{Have: 1}, newer)
 	c.Assert(err, qt.IsNil)
--- a/transport/direct/pass.go
+++ b/transport/direct/pass.go
@@ -7,27 +7,27 @@
 	"goldcrestport/protocol/digest"
 )
 
-// passMost bounds the changes that go out with a message, packed, in bytes: with the
-// digest they fit into a datagram. Larger ones, such as a configuration of
-// hundreds of routes, are asked for.
+// passMost bounds the packed changes that are attached to a message, in bytes: with the digest
+// they must fit into a datagram. Other routers fetch larger ones, such as a configuration of
+// hundreds of routes.
 const passMost = 20 << 10
 
-// passing holds changes of the store until the next message goes out: a router
-// that has much to do learns of a leaving server by one datagram, and not by a
-// call for which its processor has no time.
+// passing holds changes of the store until the next message is sent: a saturated router then
+// learns from one datagram that a server is draining, without a call for which its processor
+// has no time.
 type passing struct {
 	after   uint64
 	changes []byte
 }
 
-// take returns the changes and forgets them.
+// take returns the changes and clears them.
 func (p *passing) take() (changes []byte, after uint64) {
 	changes, after = p.changes, p.after
 	*p = passing{}
 	return changes, after
 }
 
-// pass makes known what the store told this router, for the others.
+// pass queues changes that the store sent this router, for the other routers.
 func (r *Router) pass(after uint64, d mirror.Delta) {
 	if d.Revision <= after || d.IsEmpty() {
 		return
@@ -45,8 +45,8 @@
 	r.passing = passing{after: after, changes: data}
 }
 
-// takePassed takes the changes that came with a message, if they follow what is
-// known here. Others are asked for when their revision is vouched for.
+// takePassed applies changes that came with a message if they directly follow this router's
+// revision. Others are fetched once their revision is confirmed as current.
 func (r *Router) takePassed(m digest.Message) {
 	if m.Changes == nil || m.After != r.known() {
 		return
--- a/transport/direct/passon_test.go
+++ b/transport/direct/passon_test.go
@@ -15,7 +15,7 @@
 	"goldcrestport/protocol/settings"
 )
 
-// neighbour is another router of the fleet, of which the test plays the messages.
+// neighbour is another router of the fleet, simulated by the test.
 type neighbour struct {
 	id   string
 	conn *net.UDPConn
@@ -33,8 +33,8 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// hears returns the messages of a router that come in the time, and how many of them
-// came to be passed on.
+// hears returns the messages of a router that arrive within the time, and how many of them
+// were to be forwarded.
 func (n *neighbour) hears(router string, within time.Duration) (out []digest.Message, passOn int) {
 	buf := make([]byte, maxDatagram)
 	_ = n.conn.SetReadDeadline(time.Now().Add(within))
@@ -54,7 +54,7 @@
 	}
 }
 
-// playNeighbours starts a router that knows of the others.
+// playNeighbours starts a router that knows the simulated neighbours.
 func playNeighbours(t *testing.T, ids ...string) (*fixture, map[string]*neighbour) {
 	c := qt.New(t)
 	all := map[string]*neighbour{}
@@ -73,8 +73,8 @@
 	return f, all
 }
 
-// A message of another data centre's router that is to be passed on goes to the routers
-// of this data centre, each with what is said to it, and to nobody else.
+// A message to be forwarded from another data centre's router goes to the routers of this data
+// centre, each with its own part of the message, and to no other router.
 func TestAMessageIsPassedOnInItsDataCentre(t *testing.T) {
 	f, all := playNeighbours(t, "near-1", "near-2", "far-1", "far-2")
 	for _, n := range all {
@@ -101,8 +101,8 @@
 	}
 }
 
-// Pattern: a data centre of many routers. A digest crosses to it once or, with a word of
-// the store's, twice, by routers that take turns; watchers hear each directly.
+// In a data centre of many routers, a digest is sent there once or, with a confirmation by the
+// store, twice, through routers that take turns; watchers receive each digest directly.
 func TestADigestCrossesOnce(t *testing.T) {
 	var ids []string
 	for i := range 10 {
@@ -131,7 +131,7 @@
 			few++
 		}
 	}
-	// The first ones went out before anyone was heard.
+	// The first ones were sent before any router was heard.
 	f.Check(few > 5, qt.IsTrue, qt.Commentf("%v", crossed))
-	f.Check(len(passers) > 2, qt.IsTrue, qt.Commentf("%d routers were asked to pass on", len(passers)))
+	f.Check(len(passers) > 2, qt.IsTrue, qt.Commentf("%d routers were asked to forward", len(passers)))
 }
--- a/transport/direct/path_bench_test.go
+++ b/transport/direct/path_bench_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// BenchmarkStreams measures what the path of a stream of fifty events costs.
+// BenchmarkStreams measures the cost of relaying a stream of fifty events.
 func BenchmarkStreams(b *testing.B) {
 	const together, perStream = 20, 50
 	run := func(w io.Writer, req *http.Request) bool { return events(w, req, perStream, 2*time.Millisecond, false) }
@@ -33,7 +33,7 @@
 	wg.Wait()
 }
 
-// BenchmarkRefusals measures what a refused request on a new connection costs.
+// BenchmarkRefusals measures the cost of a refused request on a new connection.
 func BenchmarkRefusals(b *testing.B) {
 	f := start(b, testConfig(1))
 	b.ResetTimer()
@@ -48,8 +48,8 @@
 	}
 }
 
-// BenchmarkKeptRefusals measures what a refused request with the body of a long
-// prompt costs on a kept connection, as one caller's flood brings them.
+// BenchmarkKeptRefusals measures the cost of a refused request with the body of a long prompt
+// on a kept connection, as in the flood of one caller.
 func BenchmarkKeptRefusals(b *testing.B) {
 	f := start(b, testConfig(1))
 	conn, err := net.Dial("tcp", f.set.Listen.Callers)
--- a/transport/direct/peers.go
+++ b/transport/direct/peers.go
@@ -10,32 +10,32 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Times and sizes of what routers tell each other.
+// Intervals and size limits of the messages between routers.
 const (
-	// tellEvery is the time between digests in a small fleet. An engine reads
-	// 1,300 tokens meanwhile, less than a long prompt.
+	// tellEvery is the interval between digests in a small fleet. An engine reads 1,300 tokens
+	// in it, less than a long prompt.
 	tellEvery = 20 * time.Millisecond
-	// tellBudget bounds the datagrams that a router sends in a second; in
-	// larger fleets the digests are rarer.
+	// tellBudget bounds the datagrams that a router sends per second; in larger fleets digests
+	// are sent less often.
 	tellBudget = 200
-	// greetEvery is the greatest time between messages to a router that asks
-	// the store: its word is as old as the last message that it heard before.
+	// greetEvery is the maximum interval between messages to a router that queries the store:
+	// that router's confirmation is as old as the last message that it received before.
 	greetEvery = 200 * time.Millisecond
-	// allEvery is the time between digests that name every server, which mend
-	// what lost ones left wrong.
+	// allEvery is the interval between digests that name every server, which correct what lost
+	// digests left wrong.
 	allEvery = time.Second
-	// teamsEvery is the time between digests that name the teams. Their shares
-	// are of the last seconds.
+	// teamsEvery is the interval between digests that name the teams. Their shares cover the
+	// last seconds.
 	teamsEvery = 250 * time.Millisecond
-	// vouchCopies is the number of routers of another data centre that pass a word of
-	// the store's on: one of them may have failed, and nobody know it yet.
+	// vouchCopies is the number of routers of another data centre that forward a confirmation
+	// by the store: one of them may have failed without its failure being known yet.
 	vouchCopies = 2
-	// maxDatagram bounds a message, in bytes, below what UDP takes. Changes that
-	// find no room beside the digest are asked for.
+	// maxDatagram bounds a message, in bytes, below the limit of UDP. Changes that do not fit
+	// beside the digest are fetched by the receivers.
 	maxDatagram = 60 << 10
 )
 
-// exchange begins the duties that tell other routers and listen to them.
+// exchange starts the tasks that send messages to other routers and receive theirs.
 func (r *Router) exchange(ctx context.Context) error {
 	if r.set.Listen.Peers == "" {
 		return nil
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// serveSeeds answers routers that begin.
+// serveSeeds answers routers that are starting.
 func (r *Router) serveSeeds(ctx context.Context) error {
 	if r.set.Listen.Seeds == "" {
 		return nil
--- a/transport/direct/place.go
+++ b/transport/direct/place.go
@@ -8,7 +8,7 @@
 	"goldcrestport/protocol/outcome"
 )
 
-// place asks where the request goes, once more if it was sent before.
+// place asks the admission for a server, again if the request was sent before.
 func (c *call) place() admission.Decision {
 	req := admission.Request{
 		Service: c.service, Team: c.team, Class: c.route.Name, Prompt: c.meta.Prompt, Output: c.meta.Output, SharedPrefixes: c.meta.Shared,
@@ -22,7 +22,7 @@
 	return c.r.admission.Place(time.Now(), req)
 }
 
-// homes are the lists of regions to which the route and the team bind the request.
+// homes returns the lists of regions to which the route and the team restrict the request.
 func (c *call) homes() [][]string {
 	var all [][]string
 	if len(c.route.Homes) > 0 {
@@ -42,11 +42,11 @@
 	case c.reached > 0:
 		c.fail(outcome.ReasonBackend, http.StatusBadGateway, "the answer was lost and no further server is free")
 	case d.Verdict == admission.Refuse && d.Cold:
-		c.refuse(*notRun(outcome.ReasonQueueFull, d.RetryAfter, "the backend servers are cold and get as much as they bear"))
+		c.refuse(*notRun(outcome.ReasonQueueFull, d.RetryAfter, "the backend servers are cold and receive as much as they can handle"))
 	case d.Verdict == admission.Refuse && d.Reason == admission.ReasonBackoff:
-		c.refuse(*notRun(outcome.ReasonBackoff, d.RetryAfter, "the backend servers asked for no requests until then"))
+		c.refuse(*notRun(outcome.ReasonBackoff, d.RetryAfter, "the backend servers requested a back-off until then"))
 	case d.Verdict == admission.Refuse:
-		c.refuse(*notRun(outcome.ReasonQueueFull, d.RetryAfter, "no backend server can begin in time"))
+		c.refuse(*notRun(outcome.ReasonQueueFull, d.RetryAfter, "no backend server can start the request in time"))
 	default:
 		c.refuse(*notRun(outcome.ReasonNoBackend, d.RetryAfter, "no backend server is known"))
 	}
--- a/transport/direct/places.go
+++ b/transport/direct/places.go
@@ -2,39 +2,38 @@
 
 import "goldcrestport/protocol/settings"
 
-// Figures of the callers' connections.
+// Limits for the callers' connections.
 const (
-	// connectionBytes is what an open connection takes: two buffers, stacks
-	// and what the kernel holds.
+	// connectionBytes is the memory of an open connection: two buffers, stacks and kernel
+	// memory.
 	connectionBytes = 24 << 10
-	// connectionShare is the part of the process's memory for connections;
-	// past it the collector would run without end.
+	// connectionShare is the share of the process's memory for connections; beyond it the
+	// garbage collector would run continuously.
 	connectionShare = 0.25
-	// freeShare of the greatest number of connections is kept free for new
-	// callers, by closing idle ones.
+	// freeShare of the maximum number of connections is kept free for new callers by closing
+	// idle ones.
 	freeShare = 1.0 / 16
-	// crowdedShare of the greatest number is where connections get short
-	// lives.
+	// crowdedShare of the maximum number is where connections get short idle timeouts.
 	crowdedShare = 0.25
 )
 
-// mostConnections is the greatest number of callers' connections.
+// mostConnections is the maximum number of callers' connections.
 func mostConnections(set settings.Direct) int {
 	byMemory := int(connectionShare * float64(set.Memory.Bytes()) / connectionBytes)
 	return min(set.Callers.Connections, byMemory)
 }
 
-// mostKept is the number of connections beyond which idle ones are closed: a
-// caller that finds no place waits unheard.
+// mostKept is the number of connections above which idle ones are closed: a caller whose
+// connection is not accepted waits unread.
 func mostKept(set settings.Direct) int {
 	most := mostConnections(set)
 	return most - max(int(freeShare*float64(most)), 1)
 }
 
-// full reports whether no place is left for a new caller.
+// full reports whether the maximum number of callers' connections is open.
 func (r *Router) full() bool { return r.callers.Open() >= mostConnections(r.set) }
 
-// crowded reports whether connections should be short-lived.
+// crowded reports whether connections should get a short idle timeout.
 func (r *Router) crowded() bool {
 	return float64(r.callers.Open()) > crowdedShare*float64(mostConnections(r.set))
 }
--- a/transport/direct/ready.go
+++ b/transport/direct/ready.go
@@ -9,7 +9,7 @@
 	"goldcrestport/transport/observe"
 )
 
-// ready returns nil, or why no new work is wanted.
+// ready returns nil, or why the router should receive no new requests.
 func (r *Router) ready() error {
 	if r.unready.Load() {
 		return errors.New("leaving")
@@ -18,10 +18,10 @@
 		return errors.New("no configuration yet")
 	}
 	if r.load.away.Load() {
-		return errors.New("the processor has too much work")
+		return errors.New("the processor is saturated")
 	}
 	if r.full() {
-		return errors.New("every place for a connection is taken")
+		return errors.New("the maximum number of callers' connections is open")
 	}
 	now := bootTime()
 	if cut := time.Duration(r.cutSince.Load()); cut != 0 && now-cut > cutReady {
@@ -32,7 +32,7 @@
 	bound := time.Duration(unreadyShare * float64(r.cfg.Freshness))
 	r.mu.Unlock()
 	if !known || age > bound {
-		return errors.Newf("the configuration was last known to be the newest %v ago", age)
+		return errors.Newf("the configuration was last confirmed as current %v ago", age)
 	}
 	return nil
 }
--- a/transport/direct/relay.go
+++ b/transport/direct/relay.go
@@ -16,7 +16,7 @@
 	"goldcrestport/transport/backend"
 )
 
-// pass passes an answer on to the caller.
+// pass relays an answer to the caller.
 func (c *call) pass(ctx context.Context, answer *backend.Answer, reply Reply, events *eventstream.Follower) (step, health.Result, error) {
 	success := isSuccess(answer.Status)
 	switch {
@@ -26,7 +26,7 @@
 		}
 		return c.passEvents(ctx, answer, events)
 	case success && !reply.Marked:
-		return failed, health.Failure, errors.New("a success without the server's mark")
+		return failed, health.Failure, errors.New("success response without the server's mark")
 	case c.isStream(answer):
 		return c.passEvents(ctx, answer, events)
 	case answer.Length <= wholeBody:
@@ -36,8 +36,8 @@
 	}
 }
 
-// resultAfter judges a server whose answer broke off: a caller who left says nothing
-// about it, nor does its leaving.
+// resultAfter classifies a server whose answer broke off: neither a caller's disconnection nor
+// the server's own shutdown counts against it.
 func resultAfter(ctx context.Context, err error) health.Result {
 	if ctx.Err() != nil || errors.Is(err, backend.ErrServerLeft) {
 		return health.NoResult
@@ -45,11 +45,11 @@
 	return health.Failure
 }
 
-// errNotWhole is the failure of an answer that ended without an error and is not whole.
-var errNotWhole = errors.New("the answer ended before it was whole")
+// errNotWhole is the failure of an answer that ended without an error but is incomplete.
+var errNotWhole = errors.New("the answer ended before it was complete")
 
-// brokeOff returns what follows an answer that is not whole, and the error that it met: io.EOF
-// where it met none.
+// brokeOff returns the step after an incomplete answer, and its error: io.EOF stands for an
+// end without an error.
 func (c *call) brokeOff(ctx context.Context, err error) (step, health.Result, error) {
 	if errors.Is(err, io.EOF) {
 		err = errNotWhole
@@ -60,7 +60,7 @@
 	return failed, resultAfter(ctx, err), err
 }
 
-// passWhole reads the answer to its end before any of it is passed on.
+// passWhole reads the answer to its end before any of it is relayed.
 func (c *call) passWhole(ctx context.Context, answer *backend.Answer, success bool) (step, health.Result, error) {
 	body, err := io.ReadAll(io.LimitReader(answer, wholeBody))
 	if err != nil {
@@ -86,13 +86,13 @@
 	return done, health.Failure, nil
 }
 
-// mayRepeatError reports whether an error of the server is worth a try at
-// another one; the last one's error is passed on as it is.
+// mayRepeatError reports whether a server's error should be retried at another server; the
+// last server's error is relayed unchanged.
 func (c *call) mayRepeatError() bool {
 	return c.route.MayRepeat() && c.reached < c.route.Attempts && c.sent < sends && c.left() > c.route.Objective/2 && c.r.otherServer(c)
 }
 
-// passBytes passes a long answer on as it comes.
+// passBytes relays a long answer as it arrives.
 func (c *call) passBytes(ctx context.Context, answer *backend.Answer) (step, health.Result, error) {
 	c.head(answer, answer.Length)
 	return c.passRest(ctx, answer, nil)
@@ -119,7 +119,7 @@
 	}
 }
 
-// passEvents passes whole events on as they arrive.
+// passEvents relays whole events as they arrive.
 func (c *call) passEvents(ctx context.Context, answer *backend.Answer, events *eventstream.Follower) (step, health.Result, error) {
 	events.Restart()
 	flusher := http.NewResponseController(c.w)
@@ -146,11 +146,11 @@
 	}
 }
 
-// leastGather is the shortest time worth a timer.
+// leastGather is the shortest delay for which a timer is worth its cost.
 const leastGather = 5 * time.Millisecond
 
-// gather waits for further events, so that several go out in one write: on
-// small instances each write and wake-up costs more than the event.
+// gather waits for further events so that several are sent in one write: on small instances
+// each write and wake-up costs more than the event.
 func (c *call) gather(ctx context.Context) {
 	wait := c.r.gatherTime()
 	if wait < leastGather {
@@ -179,7 +179,7 @@
 	return flusher.Flush()
 }
 
-// streamEnded ends a stream that is whole.
+// streamEnded completes a stream that is whole, or handles one that broke off.
 func (c *call) streamEnded(ctx context.Context, answer *backend.Answer, events *eventstream.Follower, err error) (step, health.Result, error) {
 	if c.concluded(ctx, answer, events) == completeness.Broken {
 		return c.brokeOff(ctx, err)
@@ -199,8 +199,8 @@
 	return done, health.NoResult, nil
 }
 
-// head writes the answer's status and headers. Length is that of the body, or
-// -1 when it is not known.
+// head writes the answer's status and headers. Length is that of the body, or -1 if it is
+// unknown.
 func (c *call) head(answer *backend.Answer, length int64) {
 	h := c.w.Header()
 	for name, values := range c.r.dialect.Incoming(answer.Header) {
@@ -218,7 +218,7 @@
 	c.w.WriteHeader(answer.Status)
 }
 
-// completed ends an answer that is whole and was written.
+// completed finishes an answer that was written whole.
 func (c *call) completed(answer *backend.Answer) {
 	c.told = toldWhole
 	c.r.metrics.completed(c)
@@ -228,8 +228,8 @@
 	c.logCompleted(answer.Status)
 }
 
-// otherServer reports whether the service has a server that the call has not
-// tried and that wants requests.
+// otherServer reports whether the service has a server that the call has not tried and that
+// accepts requests.
 func (r *Router) otherServer(c *call) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/transport/direct/reload.go
+++ b/transport/direct/reload.go
@@ -7,15 +7,15 @@
 	"goldcrestport/protocol/settings"
 )
 
-// Reload puts the bounds of changed settings in force. Addresses stay as they
-// are until the process starts again.
+// Reload applies the limits of changed settings. Addresses do not change until the process
+// restarts.
 func (r *Router) Reload(set settings.Direct, cfg Config) {
 	r.mu.Lock()
 	r.fresh.SetBound(cfg.Freshness)
 	r.cfg.Freshness, r.cfg.Staleness = cfg.Freshness, cfg.Staleness
 	if cfg.Repeats != r.cfg.Repeats {
-		// Budgets with other bounds begin as spent ones would: empty windows
-		// would allow a second allowance at once.
+		// Budgets with new limits start as if spent: empty windows would grant a second
+		// allowance at once.
 		r.cfg.Repeats = cfg.Repeats
 		for _, b := range r.budgets {
 			b.SetConfig(cfg.Repeats)
@@ -27,10 +27,10 @@
 		"cold_overrun", set.ColdServers.Overrun, "cold_slack", set.ColdServers.Slack)
 }
 
-// Rejected notes that changed settings were wrong.
+// Rejected logs that changed settings were invalid.
 func (r *Router) Rejected(err error) { r.event("reload_rejected", "err", err) }
 
-// errorLines takes the lines that net/http logs about connections.
+// errorLines receives the lines that net/http logs about connections.
 type errorLines struct{ r *Router }
 
 // Write implements io.Writer.
--- a/transport/direct/router.go
+++ b/transport/direct/router.go
@@ -34,13 +34,13 @@
 	"goldcrestport/transport/teamlog"
 )
 
-// Router is the process.
+// Router is a router process that calls the backend servers itself.
 type Router struct {
 	set settings.Direct
 	cfg Config
 	log log.Logger
-	// lines bounds the lines of answers that were whole, attempts those of attempts that
-	// were given up, failures those of all others.
+	// lines limits the log lines about answers that were whole, attempts those about abandoned
+	// attempts, and failures all others.
 	lines    *observe.LineLimit
 	attempts *observe.LineLimit
 	failures *observe.LineLimit
@@ -51,54 +51,54 @@
 	tracer   *observe.Tracer
 	table    atomic.Pointer[routing.Table]
 
-	// mu guards the decisions below.
+	// mu guards the state below, down to returning.
 	mu        sync.Mutex
 	admission *admission.State
 	roster    *roster.Roster
 	budgets   map[string]*repeats.Budget
 	fresh     *freshness.Tracker
-	// quarantine tells which requests crash servers; suspected wakes the teller
-	// when there is news of it.
+	// quarantine tracks which requests crash servers; suspected wakes the teller when there
+	// are new reports to send.
 	quarantine *quarantine.State
 	suspected  chan struct{}
-	// warmup bounds what cold servers get; member says since when and until when
-	// this router's registration surely stands.
+	// warmup limits the load of cold servers; member is the period in which this router's
+	// registration is certain to be valid.
 	warmup  *warmup.State
 	member  membership
 	servers map[string]roster.Server
 	peers   map[string]mirror.Registration
-	// peersChanged tells the teller to read peers anew.
+	// peersChanged tells the teller to read peers again.
 	peersChanged bool
-	// heard is the last message of each other router, witness the times of
-	// this one's.
+	// heard holds the sequence number of the last message from each other router, and witness
+	// the times of this router's own messages.
 	heard   map[string]uint32
 	witness freshness.Witness
-	// fleet decides to whom this router's digests go.
+	// fleet decides to which routers this router's digests are sent.
 	fleet *telling.Fleet
 	vouch vouching
-	// toldAt is when a new word of the store's came last, by the clock of
-	// bootTime: another router's, or this one's own. toldOf is the moment for
-	// which the others' newest word holds.
+	// toldAt is when a new confirmation by the store came last, to another router or to this
+	// one, by the clock of bootTime. toldOf is the time for which the newest confirmation of
+	// the other routers holds.
 	toldAt, toldOf time.Duration
-	// lostAt is when the store stopped to answer this router, by the clock of
-	// bootTime.
+	// lostAt is when the store stopped answering this router, by the clock of bootTime.
 	lostAt time.Duration
-	// wanted wakes the duty that asks the store: a request waits for young knowledge.
+	// wanted wakes the task that queries the store: a request waits for more recent
+	// information.
 	wanted chan struct{}
-	// vouched wakes the teller when there is a new word of the store's.
+	// vouched wakes the teller when the store has answered anew.
 	vouched chan struct{}
-	// passing holds the changes that go out with the next message.
+	// passing holds the changes that are sent with the next message.
 	passing passing
-	// pending is a revision that others vouched for and this router has not
-	// reached yet; behind wakes the duty that reads it.
+	// pending is a revision that another router confirmed as current and this router has not
+	// reached yet; behind wakes the task that reads it.
 	pending struct {
 		at       time.Duration
 		revision uint64
-		// router that vouched for it.
+		// router that confirmed it.
 		router string
 	}
 	mirror mirror.Mirror
-	// answers are what other routers were told of it last.
+	// answers caches the last answer to other routers.
 	answers packedAnswers
 	// noted holds the revisions at which invalid entries were logged, by key.
 	noted     map[string]uint64
@@ -107,8 +107,8 @@
 
 	probes *probes
 	load   load
-	// cutSince is since when the store does not answer this router, by the
-	// clock of bootTime; 0 while it does.
+	// cutSince is the time since which the store has not answered this router, by the clock of
+	// bootTime; 0 while it answers.
 	cutSince atomic.Int64
 	unready  atomic.Bool
 	leaving  atomic.Bool
@@ -117,14 +117,14 @@
 	end      context.CancelFunc
 	abort    chan struct{}
 	callers  *callerconn.Set
-	// teams counts what each team asks of this router and gets.
+	// teams counts what each team requests from this router and receives.
 	teams *teamlog.Recorder
 	// gate decides which new connections are read.
 	gate *callergate.Gate
 	once sync.Once
 }
 
-// New returns a router that has not bound anything yet.
+// New returns a router that has not bound any listener yet.
 func New(set settings.Direct, cfg Config, source Source, dialect Dialect, logger log.Logger) *Router {
 	ending, end := context.WithCancel(context.Background())
 	r := &Router{
@@ -167,8 +167,8 @@
 // Abort ends a graceful shutdown early. It may be called more than once.
 func (r *Router) Abort() { r.once.Do(func() { close(r.abort) }) }
 
-// Serve binds the listeners and serves until stop is closed and what is held
-// has ended or the stop bound has passed.
+// Serve binds the listeners and serves until stop is closed and all requests in flight have
+// ended or the stop bound has passed.
 func (r *Router) Serve(stop <-chan struct{}) error {
 	if err := r.cfg.Admission.Validate(); err != nil {
 		return errors.Wrap(err, "admission")
@@ -222,7 +222,7 @@
 	return nil
 }
 
-// callerServer bounds what a caller's connection may take.
+// callerServer returns the HTTP server for callers, with limits on what a connection may use.
 func (r *Router) callerServer() *http.Server {
 	return &http.Server{
 		Handler:           callerconn.ResetUnlessWhole(http.HandlerFunc(r.serve)),
@@ -235,16 +235,16 @@
 	}
 }
 
-// bootTime reads the clock that goes on while the instance is suspended.
+// bootTime reads the clock that continues while the instance is suspended.
 func bootTime() time.Duration {
 	var ts unix.Timespec
-	// The clock exists on every kernel that the product supports; the zero
-	// time of a failure counts as knowledge that is too old.
+	// The clock exists on every kernel that the product supports; the zero time of a failure
+	// counts as information that is too old.
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts)
 	return time.Duration(ts.Nano())
 }
 
-// wallTime returns the moment of a reading of bootTime.
+// wallTime converts a reading of bootTime to the wall clock.
 func wallTime(at time.Duration) time.Time { return time.Now().Add(at - bootTime()) }
 
 // isFresh reports whether requests that need a key may be served now.
@@ -255,8 +255,8 @@
 	return r.fresh.Fresh(now)
 }
 
-// configAge is how long ago the configuration was known to be the newest, or
-// -1ms if it never was.
+// configAge returns the time since the configuration was confirmed as current, or -1ms if it
+// never was.
 func (r *Router) configAge() time.Duration {
 	now := bootTime()
 	r.mu.Lock()
@@ -268,7 +268,7 @@
 	return age
 }
 
-// event writes one line that is never left out.
+// event writes a log line that is not rate limited.
 func (r *Router) event(name string, keyvals ...any) {
 	_ = r.log.Log(append([]any{"event", name}, keyvals...)...)
 }
--- a/transport/direct/runs.go
+++ b/transport/direct/runs.go
@@ -10,7 +10,7 @@
 	"goldcrestport/coordination/roster"
 )
 
-// server returns the server as the store has it.
+// server returns the server with the id, as the store has it.
 func (r *Router) server(id string) (roster.Server, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -31,7 +31,7 @@
 	}
 }
 
-// replied notes the head of the answer to a request.
+// replied processes the head of the answer to a request.
 func (r *Router) replied(run *admission.Run, reply Reply, request string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// generated notes the length of a complete answer.
+// generated records the length of a complete answer.
 func (r *Router) generated(run *admission.Run, tokens int) {
 	if tokens == 0 {
 		return
--- a/transport/direct/serve.go
+++ b/transport/direct/serve.go
@@ -20,7 +20,7 @@
 	"goldcrestport/transport/observe"
 )
 
-// call is one request of a caller on its way.
+// call is the state of one request of a caller.
 type call struct {
 	r       *Router
 	w       http.ResponseWriter
@@ -31,24 +31,24 @@
 	service string
 	team    string
 	body    []byte
-	// content names what is asked for, alike for every attempt of the caller;
-	// 0 until the body is read.
+	// content is the fingerprint of the request, equal for every attempt of the caller; 0
+	// until the body is read.
 	content quarantine.Fingerprint
 	// received is when the request arrived, whether or not it was read at once.
 	received time.Time
-	// unread is how long it lay at this router before it was read.
+	// unread is how long it waited unread at this router.
 	unread time.Duration
 	// deadline is when the caller must have its final answer.
 	deadline time.Time
 
-	// elapsed is the time since the caller's first attempt, if it came back.
+	// elapsed is the time since the caller's first attempt, if this is a retry.
 	elapsed time.Duration
-	// firstByte is when the answer began.
+	// firstByte is when the answer started.
 	firstByte time.Time
 	// pause is the longest time between two events of the answer.
 	pause time.Duration
-	// reached counts the servers that may have run the request, sent those
-	// that it was sent to.
+	// reached counts the servers that may have run the request, and sent those that it was
+	// sent to.
 	reached int
 	sent    int
 	// arrived tells that the last send reached a server.
@@ -57,20 +57,20 @@
 	last    admission.Decision
 	// tokens is the size of the request; 0 for plain services.
 	tokens float64
-	// counted tells that the request counts as begun for its team.
+	// counted tells that the request was counted as started for its team.
 	counted bool
-	// begun tells that a part of the answer was passed on.
+	// begun tells that a part of the answer was relayed.
 	begun bool
-	// server is the one that it was sent to last.
+	// server is the one that the request was last sent to.
 	server roster.Server
-	// answer is how the last answer of a server ended; nil before there was one.
+	// answer is how the last answer of a server ended; nil before the first one.
 	answer *answerEnd
-	// told is what the caller was told of the answer that it got, and toldBy by which
-	// framing; empty before it began.
+	// told is the form in which the caller received the answer, and toldBy its framing; both
+	// are empty before the answer started.
 	told, toldBy string
 }
 
-// serve brings one request to its final answer.
+// serve handles one request until its final answer.
 func (r *Router) serve(w http.ResponseWriter, req *http.Request) {
 	r.held.Add(1)
 	defer r.held.Add(-1)
@@ -82,8 +82,8 @@
 	c.unread = c.lay()
 	c.received = c.received.Add(-c.unread)
 	if r.unready.Load() {
-		// Idle connections stay open until the end: one that is closed while
-		// a caller sends on it leaves the caller in doubt.
+		// Idle connections stay open until the end: closing one while a caller sends on it
+		// would leave the caller with an unknown outcome.
 		w.Header().Set("Connection", "close")
 	}
 	if o := c.admit(); o != nil {
@@ -101,16 +101,16 @@
 	c.dispatch(ctx)
 }
 
-// notRun returns a refusal that asks the caller to come back.
+// notRun returns a refusal that asks the caller to retry.
 func notRun(reason outcome.Reason, after time.Duration, detail string) *outcome.Outcome {
 	o := outcome.Refuse(reason, http.StatusServiceUnavailable, after, detail)
 	return &o
 }
 
-// lay returns how long the request lay at this router before it was read: by the kernel's
-// word, or, where it says nothing, since the connection was taken, as far as the router's
-// lateness explains it: a caller may open its connection before it needs it. Later requests
-// of a connection are read at once by a router in time.
+// lay returns how long the request waited unread at this router: as the kernel reports it or,
+// if it reports nothing, since the connection was accepted, limited to what the router's
+// lateness explains, as a caller may open its connection before it needs it. A router that is
+// not late reads later requests of a connection at once.
 func (c *call) lay() time.Duration {
 	if !c.r.isLate() && !c.r.callers.IsFirst(c.conn()) {
 		return 0
@@ -121,7 +121,7 @@
 
 // tooLate refuses a request whose caller waits no longer; nothing of it ran.
 func tooLate() *outcome.Outcome {
-	return notRun(outcome.ReasonDeadline, 0, "the time limit passed before the request was sent to a backend server")
+	return notRun(outcome.ReasonDeadline, 0, "the request's deadline passed before it was sent to a backend server")
 }
 
 // admit finds the route and the team, and reads the body.
@@ -135,8 +135,8 @@
 		return o
 	}
 	if r.leaving.Load() && (c.route.Kind == routing.Streaming || r.load.held() == 0) {
-		// A stream may outlast the process. Short requests are served while
-		// streams keep it here, and no longer.
+		// A stream may outlast the process. Short requests are served only while streams keep
+		// the process running.
 		return notRun(outcome.ReasonLeaving, staleReturn, "this router is leaving")
 	}
 	if r.ending.Err() != nil {
@@ -180,8 +180,8 @@
 	return nil
 }
 
-// unknown refuses what the configuration does not know; when a newer one may
-// know it, the caller is asked to come back instead.
+// unknown refuses a request that does not match the configuration; if a newer configuration
+// may exist, the caller is asked to retry instead.
 func (c *call) unknown(reason outcome.Reason, status int, detail string) *outcome.Outcome {
 	if !c.r.isFresh() {
 		return c.stale()
@@ -191,10 +191,10 @@
 }
 
 func (c *call) stale() *outcome.Outcome {
-	return notRun(outcome.ReasonPlatform, staleReturn, "the configuration cannot be shown to be the newest")
+	return notRun(outcome.ReasonPlatform, staleReturn, "the configuration cannot be shown to be current")
 }
 
-// timeLeft is how long the caller is to be kept waiting at the most.
+// timeLeft returns the maximum time that the caller may be kept waiting.
 func (c *call) timeLeft() time.Duration {
 	left := c.meta.TimeLeft
 	if left <= 0 {
@@ -206,7 +206,7 @@
 	return left
 }
 
-// left is the time until the caller stops waiting.
+// left returns the time until the caller stops waiting.
 func (c *call) left() time.Duration {
 	left := time.Until(c.deadline)
 	if c.meta.TimeLeft > 0 {
@@ -215,8 +215,8 @@
 	return left
 }
 
-// readBody reads the whole body: a request that is sent has all its bytes, and
-// its caller's leaving is noticed from then on.
+// readBody reads the whole body: a request is sent only with all its bytes, and from then on
+// its caller's disconnection is noticed.
 func (c *call) readBody() *outcome.Outcome {
 	limit := int64(c.table.Limits().BodyBytes)
 	if limit <= 0 {
@@ -249,12 +249,12 @@
 	return body, err
 }
 
-// hasBody reports whether the caller sent a body, if only an empty one.
+// hasBody reports whether the caller sent a body, even an empty one.
 func (c *call) hasBody() bool {
 	return c.req.ContentLength != 0 || len(c.req.Header["Content-Length"]) > 0
 }
 
-// refuse gives the caller its final answer.
+// refuse sends the caller its final answer.
 func (c *call) refuse(o outcome.Outcome) {
 	o.Fractional = true
 	callerconn.Decided(c.conn())
@@ -264,8 +264,8 @@
 		c.r.teams.Count(func(t *teamuse.Table) { t.Refused(c.team, string(o.Reason)) })
 	}
 	if c.r.crowded() || c.r.gate.Chooses() {
-		// A refused caller comes back on another connection; this one would
-		// hold a descriptor in vain.
+		// A refused caller retries on another connection; keeping this one would waste a
+		// descriptor.
 		c.w.Header().Set("Connection", "close")
 	}
 	if o.Status == http.StatusRequestTimeout || o.Status == http.StatusRequestEntityTooLarge {
@@ -275,8 +275,8 @@
 	outcome.Write(c.w, c.meta.ID, o)
 }
 
-// unreadPerLate is how long a request may have lain unread for each unit of the
-// mean lateness: its connection, its head and its body are read one by one.
+// unreadPerLate is how long a request may have waited unread for each unit of the mean
+// lateness: its connection, its head and its body are read one after the other.
 const unreadPerLate = 6
 
 // elapsed returns how long the caller has been waiting since its first attempt.
--- a/transport/direct/sync.go
+++ b/transport/direct/sync.go
@@ -15,7 +15,7 @@
 	"goldcrestport/transport/platform"
 )
 
-// confirm adopts a newer configuration and notes when it was the newest.
+// confirm adopts a newer configuration and records when it was confirmed as current.
 func (r *Router) confirm(c *routing.Config, sent time.Duration, v vouching) {
 	r.take(c)
 	r.mu.Lock()
@@ -31,7 +31,7 @@
 	}
 }
 
-// adopt puts a configuration in force unless a newer one is.
+// adopt applies a configuration unless a newer one is in force.
 func (r *Router) adopt(c *routing.Config) {
 	old := r.table.Load()
 	if old != nil && old.Version() >= c.Version {
@@ -49,13 +49,13 @@
 		"tokens_per_second", c.Limits.TokensPerSecond)
 }
 
-// traits is what admission has to know of a service.
+// traits returns the properties of a service that the admission uses.
 func traits(c *routing.Config, s routing.Service) admission.Traits {
 	return admission.Traits{Engine: s.Engine.Slots > 0, FetchRate: s.Engine.FetchRate(), Objective: c.ShortestObjective(s.Name)}
 }
 
-// replace takes a whole reading, unless others told of later changes since it
-// began.
+// replace applies a whole snapshot, unless other routers sent later changes after its reading
+// started.
 func (r *Router) replace(s mirror.Snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,8 +73,8 @@
 	r.takeStored(s.Refused)
 }
 
-// update takes changes. They are whole up to their revision, so that what others
-// told meanwhile is in them; older ones are known already.
+// update applies changes. They are complete up to their revision, so they include what other
+// routers sent meanwhile; older ones are ignored.
 func (r *Router) update(d mirror.Delta) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,8 +102,8 @@
 	r.takeStored(d.Refused)
 }
 
-// evacuate puts the operators' evacuations of data centres in force; before are
-// those that were. What runs at the servers goes on. The caller holds mu.
+// evacuate applies the operators' evacuations of data centres; before are those that were in
+// force until now. Runs at the servers continue. The caller holds mu.
 func (r *Router) evacuate(before map[string]bool) {
 	now := r.mirror.Evacuated()
 	if maps.Equal(before, now) {
@@ -131,8 +131,8 @@
 	r.admission.SetRouters(n)
 }
 
-// apply makes changes of the roster known to the decisions, and logs them with the
-// keys and values. The caller holds mu.
+// apply passes changes of the roster to the admission, the connection pool and the quarantine,
+// and logs them with keyvals. The caller holds mu.
 func (r *Router) apply(changes []roster.Change, keyvals ...any) {
 	for _, c := range changes {
 		if c.Usable {
@@ -154,7 +154,7 @@
 	}
 }
 
-// sweep looks after idle connections and servers that lapsed.
+// sweep closes idle connections and removes lapsed servers periodically.
 func (r *Router) sweep(ctx context.Context) {
 	each(ctx, sweepEvery, func(now time.Time) {
 		r.pool.Sweep(now)
@@ -169,7 +169,7 @@
 	})
 }
 
-// each calls a duty in each period until ctx ends.
+// each calls duty once per period until ctx ends.
 func each(ctx context.Context, period time.Duration, duty func(now time.Time)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -183,8 +183,8 @@
 	}
 }
 
-// register keeps this router's entry in the store, by which the others know
-// how many share the servers.
+// register renews this router's entry in the store, from which the other routers know how many
+// share the servers.
 func (r *Router) register(ctx context.Context) {
 	lease := ""
 	for ctx.Err() == nil {
@@ -199,8 +199,8 @@
 			r.metrics.storeErrors.Add(1)
 		}
 		if errors.Is(err, platform.ErrNotFound) && lease != "" {
-			// The entry ended while this router was cut off: until there is a
-			// new one, nobody tells it anything.
+			// The entry expired while this router could not reach the store: until it has a
+			// new one, no router sends it anything.
 			lease = ""
 			continue
 		}
@@ -211,12 +211,12 @@
 	}
 }
 
-// idleSlack is how long past the configuration's idle timeout a caller's
-// connection is kept: callers use connections up to near that time.
+// idleSlack is how long after the configured idle timeout a caller's connection is kept:
+// callers use connections until shortly before that timeout.
 const idleSlack = 500 * time.Millisecond
 
-// sweepCallers closes callers' connections that are idle for too long or too
-// many.
+// sweepCallers closes callers' connections that are idle for too long, or idle ones when there
+// are too many.
 func (r *Router) sweepCallers(now time.Time) {
 	limit := r.set.Callers.IdleTimeout.D()
 	if t := r.table.Load(); t != nil && t.Limits().IdleTimeout > 0 {
