--- a/transport/direct/teams.go
+++ b/transport/direct/teams.go
@@ -8,7 +8,7 @@
 	"goldcrestport/transport/teamlog"
 )
 
-// ask counts the request for its team, whatever becomes of it.
+// ask counts the request as its team's demand, whatever its outcome.
 func (c *call) ask() {
 	c.r.mu.Lock()
 	c.tokens = c.r.admission.CountDemand(time.Now(), admission.Request{Service: c.service, Team: c.team, Class: c.route.Name, Prompt: c.meta.Prompt, Output: c.meta.Output})
@@ -18,8 +18,8 @@
 	}
 }
 
-// closedUnread notes that a connection was closed before anything was read of it: its
-// team asked for what it did not get.
+// closedUnread records that a connection was closed before anything was read from it: its team
+// requested something that it did not receive.
 func (r *Router) closedUnread(team string) {
 	r.metrics.shed.Add(1)
 	r.teams.Count(func(t *teamuse.Table) { t.Unread(team) })
@@ -30,10 +30,11 @@
 	}
 }
 
-// isBeyond reports whether the team got more than its share.
+// isBeyond reports whether the team has received more than its share.
 func (r *Router) isBeyond(team string) bool { return r.teamStanding(team).Share > 1 }
 
-// teamStanding tells where a team stands among all, as this router knows it.
+// teamStanding returns the team's standing among all teams, as far as this router knows: its
+// share relative to what it has received, and the max-min fair share level.
 func (r *Router) teamStanding(team string) teamlog.Standing {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/transport/direct/tell.go
+++ b/transport/direct/tell.go
@@ -13,39 +13,39 @@
 	"goldcrestport/protocol/digest"
 )
 
-// vouching is what this router found in the store last, for the others.
+// vouching is this router's last answer from the store, for the other routers.
 type vouching struct {
-	// heard holds the last message of each router before the store was asked.
+	// heard holds the sequence number of each router's last message before the store was
+	// queried.
 	heard    map[string]uint32
 	revision uint64
 }
 
-// teller is the duty that sends this router's digests.
+// teller is the task that sends this router's digests.
 type teller struct {
 	r    *Router
 	conn *net.UDPConn
-	// seq starts anywhere, so that words about an earlier life of this router
-	// are not taken for this one's.
+	// seq starts at a random number, so that messages about an earlier incarnation of this
+	// router are not taken for messages about this one.
 	seq uint32
 	buf []byte
-	// crossing holds the message to pass on that is written.
+	// crossing is the buffer of an encoded message to forward.
 	crossing     []byte
 	nextAll      time.Time
 	nextTeams    time.Time
 	destinations map[string]netip.AddrPort
-	// watchers are those of the destinations that ask the store; watches tells that
-	// this router does.
+	// watchers are the destinations that query the store; watches tells that this router does.
 	watchers map[string]netip.AddrPort
 	watches  bool
-	// period is the time between digests.
+	// period is the interval between digests.
 	period time.Duration
-	// told is when the last digest went out, warned when the last news of
-	// crashes did, and stood when what stands of it did.
+	// told is when the last digest was sent, warned when new crash reports were last sent, and
+	// stood when the periodic reports were.
 	told, warned, stood time.Time
 }
 
-// run sends digests in time, a new word of the store's at once, and greetings
-// to the routers that ask the store in between.
+// run sends digests periodically and whenever the store has answered anew, and heartbeats in
+// between to the routers that query the store.
 func (t *teller) run(ctx context.Context) {
 	for {
 		t.period = max(tellEvery, time.Duration(len(t.destinations))*time.Second/tellBudget)
@@ -67,7 +67,7 @@
 	}
 }
 
-// greet sends a message without a digest to the routers that ask the store.
+// greet sends a heartbeat (a message without a digest) to the routers that query the store.
 func (t *teller) greet() {
 	r := t.r
 	r.mu.Lock()
@@ -81,17 +81,17 @@
 	}
 }
 
-// passesOn reports whether this router is to be asked to pass messages on: others hear
-// sooner by one that is not late.
+// passesOn reports whether this router offers to forward messages: a router that reads late
+// would delay them.
 func (r *Router) passesOn() bool { return !r.load.saturated.Load() && !r.leaving.Load() }
 
-// number gives the next message its number. The caller holds the router's lock.
+// number assigns the next message its sequence number. The caller holds the router's lock.
 func (t *teller) number() {
 	t.seq = max(t.seq+1, 1)
 	t.r.witness.Sent(t.seq, bootTime())
 }
 
-// send sends the written message to one router.
+// send sends the encoded message to one router.
 func (t *teller) send(id string, to netip.AddrPort, vouch vouching) {
 	digest.SetHeard(t.buf, vouch.heard[id], vouch.revision)
 	if _, err := t.conn.WriteToUDPAddrPort(t.buf, to); err != nil {
@@ -99,8 +99,8 @@
 	}
 }
 
-// tell makes one digest known to every other router. One that vouches for what the
-// store answered goes by more than one router of each other data centre.
+// tell sends one digest to every other router. One that confirms the store's revision is sent
+// through more than one router of each other data centre.
 func (t *teller) tell(now time.Time, vouches bool) {
 	m := digest.Message{Router: t.r.set.ID, DataCentre: digest.DataCentreOf(t.r.set.DataCentre), PassesOn: t.r.passesOn(), Rotation: t.r.rotationWord(now)}
 	all, teams := !now.Before(t.nextAll), !now.Before(t.nextTeams)
@@ -144,7 +144,7 @@
 	return t.r.fleet.Next(now, slices.Collect(maps.Keys(t.destinations)), round)
 }
 
-// cross sends the written message to another data centre.
+// cross sends the encoded message to another data centre.
 func (t *teller) cross(crossing telling.Crossing, vouch vouching) {
 	p := digest.PassOn{Revision: vouch.revision, Heard: make(map[digest.Router]uint32, len(crossing.To)), Message: t.buf}
 	for _, id := range crossing.To {
@@ -160,7 +160,7 @@
 	}
 }
 
-// addresses takes over the routers that are registered now. The caller holds
+// addresses updates the destinations to the routers that are registered now. The caller holds
 // the router's lock.
 func (t *teller) addresses() {
 	if t.r.peersChanged {
--- a/transport/direct/trail.go
+++ b/transport/direct/trail.go
@@ -10,17 +10,16 @@
 	"goldcrestport/transport/observe"
 )
 
-// failureLines is the number of lines a second that a router writes of requests
-// that were refused, failed or went to a further server. At ordinary rates none
-// is left out.
+// failureLines is the limit of log lines per second about requests that were refused, failed
+// or went to another server. At ordinary rates no line is dropped.
 const failureLines = 100
 
-// logEnd writes the line of a request that ended without a whole answer.
+// logEnd logs a request that ended without a whole answer.
 func (c *call) logEnd(why string, status int, after time.Duration) {
 	c.line(c.r.failures, "request_ended", "why", why, "status", status, "retry_after_ms", after.Milliseconds())
 }
 
-// logCompleted writes the line of a request that was answered.
+// logCompleted logs a request that was answered.
 func (c *call) logCompleted(status int) {
 	limit := c.r.lines
 	switch {
@@ -32,13 +31,13 @@
 	c.line(limit, "request_completed", "status", status)
 }
 
-// logAgain writes the line of a request that goes to a further server.
+// logAgain logs a request that is sent to another server.
 func (c *call) logAgain(d admission.Decision, after step, err error) {
 	c.line(c.r.failures, "request_again", "after_server", d.Server, "ran", after != refused, "err", errText(err))
 }
 
-// lineKey is the kind of line that counts for its bound: those of requests that were sent to
-// a server count apart, so that refusals do not crowd them out.
+// lineKey returns the key for the limit of log lines: requests that were sent to a server have
+// a limit of their own, so that lines about refusals cannot starve them.
 func (c *call) lineKey(event string) string {
 	if c.sent == 0 {
 		return event
@@ -46,7 +45,7 @@
 	return event + " sent"
 }
 
-// line writes one line about the request with the inputs of its decision.
+// line logs the request with the inputs of its decision.
 func (c *call) line(limit *observe.LineLimit, event string, keyvals ...any) {
 	allowed, dropped := limit.Allow(c.lineKey(event), time.Now())
 	if !allowed {
@@ -73,14 +72,14 @@
 	c.r.event(event, append(all, "left_out", dropped)...)
 }
 
-// peersAge is the age of the oldest digest that decisions go by now.
+// peersAge returns the age of the oldest digest that decisions currently use.
 func (r *Router) peersAge() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admission.PeerStaleness(time.Now())
 }
 
-// standingDigits is the number of decimals of a standing in a line.
+// standingDigits is the number of decimals of a logged standing.
 const standingDigits = 2
 
 func roundTo(value float64, digits int) float64 {
@@ -88,7 +87,7 @@
 	return math.Round(value*unit) / unit
 }
 
-// firstMillis is the time from the request to the begin of its answer, or -1.
+// firstMillis is the time from the request to the start of its answer, or -1.
 func (c *call) firstMillis() int64 {
 	if c.firstByte.IsZero() {
 		return -1
@@ -96,8 +95,8 @@
 	return c.firstByte.Sub(c.received).Milliseconds()
 }
 
-// lateness says what of an answer was late for its route: its first event, a
-// pause between two, or, without events, the answer; nothing when none was.
+// lateness returns which part of an answer was late for its route: its first event, a pause
+// between two events or, without events, the whole answer; "" if none was.
 func (c *call) lateness() string {
 	switch {
 	case c.route == nil || c.firstByte.IsZero():
--- a/transport/direct/warn.go
+++ b/transport/direct/warn.go
@@ -10,17 +10,18 @@
 	"goldcrestport/protocol/crashreport"
 )
 
-// Times of what routers tell each other of crashes.
+// Intervals and limits of the crash reports between routers.
 const (
-	// standEvery is the time between tellings of what was told before, in small
-	// fleets: a lost datagram costs a quarter of a second.
+	// standEvery is the interval between repetitions of earlier reports in small fleets: a
+	// lost datagram costs a quarter of a second.
 	standEvery = 250 * time.Millisecond
-	// warnBudget bounds the datagrams of news in a second. News is rare and
-	// small: at 800 routers all know of a crash in half a second.
+	// warnBudget bounds the datagrams per second with new reports. New reports are rare and
+	// small: with 800 routers, all receive a crash report within half a second.
 	warnBudget = 2000
 )
 
-// warn tells the others what is new of crashes, and what stands when it is time.
+// warn sends new crash reports to the other routers, and repeats the standing ones when they
+// are due.
 func (t *teller) warn(now time.Time) {
 	others := time.Duration(len(t.destinations))
 	r := t.r
@@ -48,7 +49,7 @@
 	}
 }
 
-// takeReport takes another router's report of crashes.
+// takeReport processes another router's crash report.
 func (r *Router) takeReport(datagram []byte) error {
 	router, report, err := crashreport.Read(datagram)
 	if err != nil {
@@ -61,20 +62,20 @@
 	return nil
 }
 
-// listed is a refused request as operators read it.
+// listed is a refused request in the list for operators.
 type listed struct {
 	Content string    `json:"content"`
 	Since   time.Time `json:"since"`
-	// Trials is the number of sends that were allowed since.
+	// Trials is the number of probe requests that were allowed since.
 	Trials  int      `json:"trials"`
 	Crashes []strike `json:"crashes"`
 }
 
-// strike is one crash that a request is refused for.
+// strike is a crash counted against a request's fingerprint.
 type strike struct {
 	Server string    `json:"server"`
 	At     time.Time `json:"at"`
-	// ToldBy are the routers that named the request.
+	// ToldBy are the routers that reported the request.
 	ToldBy []string `json:"told_by"`
 }
 
@@ -92,11 +93,11 @@
 		out = append(out, one)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// The reader may be gone; there is nobody else to tell.
+	// The reader may be gone, and the error cannot be reported elsewhere.
 	_ = json.NewEncoder(w).Encode(out)
 }
 
-// releaseQuarantined takes a request off the list, at all routers.
+// releaseQuarantined removes a request from the quarantine, at all routers.
 func (r *Router) releaseQuarantined(w http.ResponseWriter, req *http.Request) {
 	content, err := strconv.ParseUint(req.PathValue("content"), 16, 64)
 	if err != nil {
@@ -108,6 +109,6 @@
 	r.noteQuarantine()
 	r.mu.Unlock()
 	if !known {
-		http.Error(w, "nothing is known of this content", http.StatusNotFound)
+		http.Error(w, "no refused request has this content", http.StatusNotFound)
 	}
 }
