--- a/transport/direct/abandoned.go
+++ b/transport/direct/abandoned.go
@@ -11,44 +11,44 @@
 	"goldcrestport/transport/backend"
 )
 
-// abandonedLines bounds the log lines per second about abandoned attempts. They have their own
+// abandonedLogLimit bounds the log lines per second about abandoned attempts. They have their own
 // bound so that lines about refusals cannot starve them.
-const abandonedLines = 1000
+const abandonedLogLimit = 1000
 
 // Reasons for abandoning an attempt, in addition to the errors of its exchange.
 const (
-	whyCallerLeft = "caller_left"
-	whyDeadline   = "deadline"
-	whyStopping   = "router_stops"
+	abandonedByCaller   = "caller_left"
+	abandonedAtDeadline = "deadline"
+	abandonedByStop     = "router_stops"
 )
 
-// sending is an attempt whose first byte was written.
-type sending struct {
+// sentAttempt is an attempt whose first byte was written.
+type sentAttempt struct {
 	server roster.Server
 	// attempt is its number among the attempts of its request.
 	attempt int
-	// knowledge is how old the router's information about draining servers was when the first
+	// infoAge is how old the router's information about draining servers was when the first
 	// byte was written; negative if there was none.
-	knowledge time.Duration
+	infoAge time.Duration
 }
 
-// knowledgeAge is the name of the histogram's only series.
-const knowledgeAge = "first_byte"
+// firstByteSeries is the name of the histogram's only series.
+const firstByteSeries = "first_byte"
 
-// begins runs before the first byte is written. It returns why the attempt must not be sent,
-// or records the age of the router's information about draining servers.
-func (c *call) begins(run *admission.Run, s *sending) error {
+// beforeFirstByte runs before the first byte is written. It returns why the attempt must not
+// be sent, or records the age of the router's information about draining servers.
+func (c *call) beforeFirstByte(run *admission.Run, s *sentAttempt) error {
 	if err := c.mayBegin(run, s.server); err != nil {
 		return err
 	}
-	s.knowledge = c.r.configAge()
-	c.r.metrics.knowledge.Record(knowledgeAge, time.Now(), s.knowledge)
+	s.infoAge = c.r.configAge()
+	c.r.metrics.infoAge.Record(firstByteSeries, time.Now(), s.infoAge)
 	return nil
 }
 
 // abandoned records an attempt that was abandoned after its first byte was written. It ignores
 // attempts that were answered, such as by a refusal whose text is not needed.
-func (c *call) abandoned(ctx context.Context, s *sending, a backend.Abandoned) {
+func (c *call) abandoned(ctx context.Context, s *sentAttempt, a backend.Abandoned) {
 	if a.Answered && a.Err == nil && ctx.Err() == nil {
 		return
 	}
@@ -57,27 +57,27 @@
 		c.r.metrics.abandonedUnacked.Add(1)
 	}
 	now := time.Now()
-	allowed, dropped := c.r.attempts.Allow("attempt_abandoned", now)
+	allowed, dropped := c.r.attemptLines.Allow("attempt_abandoned", now)
 	if !allowed {
 		return
 	}
 	_, usable := c.r.server(s.server.ID)
 	c.r.event("attempt_abandoned", "request", c.meta.ID, "server", s.server.ID, "incarnation", s.server.Incarnation, "address", s.server.Address,
 		"attempt", s.attempt, "began", a.Began.UTC().Format(time.RFC3339Nano), "after_ms", now.Sub(a.Began).Milliseconds(),
-		"knowledge_age_ms", s.knowledge.Milliseconds(), "usable", usable, "why", c.whyAbandoned(ctx, a), "how", string(a.How),
+		"knowledge_age_ms", s.infoAge.Milliseconds(), "usable", usable, "why", c.abandonReason(ctx, a), "how", string(a.How),
 		"answered", a.Answered, "unacked", a.Unacked, "left_out", dropped)
 }
 
-// whyAbandoned returns why the attempt was abandoned.
-func (c *call) whyAbandoned(ctx context.Context, a backend.Abandoned) string {
+// abandonReason returns why the attempt was abandoned.
+func (c *call) abandonReason(ctx context.Context, a backend.Abandoned) string {
 	switch {
 	case ctx.Err() == nil:
 		return errText(a.Err)
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return whyDeadline
+		return abandonedAtDeadline
 	case c.r.ending.Err() != nil:
-		return whyStopping
+		return abandonedByStop
 	default:
-		return whyCallerLeft
+		return abandonedByCaller
 	}
 }
--- a/transport/direct/abandoned_test.go
+++ b/transport/direct/abandoned_test.go
@@ -37,14 +37,14 @@
 
 // Guards against abandoned attempts that leave no trace: each attempt that is abandoned after
 // its first byte is logged, besides any number of refusals in the same second.
-func TestEachAbandonedAttemptHasALine(t *testing.T) {
+func TestEachAbandonedAttemptIsLogged(t *testing.T) {
 	silent := newBackend(t, "i-1", func(io.Writer, *http.Request) bool {
 		time.Sleep(time.Second)
 		return false
 	})
 	var lines lineBuffer
 	f := startLogged(t, testConfig(1), log.NewLogfmtLogger(&lines), func(*settings.Direct, *testSource) {}, silent)
-	for range 2 * failureLines {
+	for range 2 * failureLogLimit {
 		f.call("/nowhere/", "refused")
 	}
 	f.call("/short/", "a1", testLeft, "150")
--- a/transport/direct/announced.go
+++ b/transport/direct/announced.go
@@ -13,10 +13,10 @@
 
 // Reasons for not sending a request that was already placed.
 var (
-	errTooLate = errors.New("the send time for a cold server has passed")
-	errLeft    = errors.New("the server left")
-	errBackoff = errors.New("the server requested a back-off")
-	errOver    = errors.New("the request's deadline passed")
+	errTooLate        = errors.New("the send time for a cold server has passed")
+	errServerGone     = errors.New("the server left")
+	errBackoff        = errors.New("the server requested a back-off")
+	errDeadlinePassed = errors.New("the request's deadline passed")
 	// errCallerLeft concerns the caller, not the server.
 	errCallerLeft = errors.New("the caller left")
 )
@@ -27,7 +27,7 @@
 func (c *call) mayBegin(run *admission.Run, server roster.Server) error {
 	switch {
 	case c.left() <= 0:
-		return errOver
+		return errDeadlinePassed
 	case callerconn.HasEnded(c.conn()):
 		return errCallerLeft
 	default:
@@ -43,7 +43,7 @@
 		return errTooLate
 	}
 	if now, known := r.servers[server.ID]; !known || now.Incarnation != server.Incarnation {
-		return errLeft
+		return errServerGone
 	}
 	if !r.mayRely(server) {
 		return errStale
@@ -54,22 +54,22 @@
 	return nil
 }
 
-// headOf processes the head of an answer that arrived on the request's connection and reports
+// checkHead processes the head of an answer that arrived on the request's connection and reports
 // whether it belongs to the request. One that does not was still sent by the same process, so
 // what it says about the server is valid.
-func (c *call) headOf(server roster.Server, status int, h http.Header) (own bool) {
+func (c *call) checkHead(server roster.Server, status int, h http.Header) (own bool) {
 	if c.r.dialect.Own(h, c.meta.ID) {
 		return true
 	}
-	c.announced(server, c.r.dialect.Reply(status, h))
+	c.applyAnnouncement(server, c.r.dialect.Reply(status, h))
 	return false
 }
 
-// announced processes what an answer says about the server itself. An answer of another server
-// at the same address says nothing about it.
-func (c *call) announced(server roster.Server, reply Reply) {
+// applyAnnouncement processes what an answer says about the server itself. An answer of
+// another server at the same address says nothing about it.
+func (c *call) applyAnnouncement(server roster.Server, reply Reply) {
 	if reply.Invalid != "" {
-		c.r.invalidAnswer(server, reply.Invalid)
+		c.r.logInvalidAnswer(server, reply.Invalid)
 	}
 	if !reply.Leaving || reply.OtherServer {
 		return
@@ -79,17 +79,17 @@
 	c.r.apply(c.r.roster.Announced(server.ID, server.Incarnation), "said_to", c.meta.ID)
 }
 
-// invalidAnswer records that a server sent information about itself that cannot be parsed.
-func (r *Router) invalidAnswer(server roster.Server, what string) {
+// logInvalidAnswer records that a server sent information about itself that cannot be parsed.
+func (r *Router) logInvalidAnswer(server roster.Server, what string) {
 	r.metrics.invalidAnswers.Add(1)
-	if allowed, dropped := r.lines.Allow("invalid_answer", time.Now()); allowed {
+	if allowed, dropped := r.completedLines.Allow("invalid_answer", time.Now()); allowed {
 		r.event("invalid_answer", "server", server.ID, "incarnation", server.Incarnation, "text", what, "left_out", dropped)
 	}
 }
 
-// leavingServers returns the servers that told this router directly that they are draining,
+// drainingServers returns the servers that told this router directly that they are draining,
 // for gossip to the other routers. The caller holds mu.
-func (r *Router) leavingServers() []admission.ServerID {
+func (r *Router) drainingServers() []admission.ServerID {
 	var out []admission.ServerID
 	for _, one := range r.roster.Leaving() {
 		out = append(out, admission.NumberOf(one.ID, one.Incarnation))
@@ -97,8 +97,8 @@
 	return out
 }
 
-// toldLeaving applies another router's message about draining servers. The caller holds mu.
-func (r *Router) toldLeaving(router string, servers []admission.ServerID) {
+// receiveDraining applies another router's message about draining servers. The caller holds mu.
+func (r *Router) receiveDraining(router string, servers []admission.ServerID) {
 	for _, number := range servers {
 		if id, incarnation, known := r.admission.ServerByNumber(number); known {
 			r.apply(r.roster.Told(time.Now(), id, incarnation), "said_to", router)
--- a/transport/direct/asked_test.go
+++ b/transport/direct/asked_test.go
@@ -14,11 +14,11 @@
 
 // Guards against a flooding team whose demand seems small, so that other teams may exceed
 // their shares: requests refused for lack of streams count as demand, too.
-func TestARefusalForStreamsCountsAsAsked(t *testing.T) {
+func TestARefusalForStreamsCountsAsDemand(t *testing.T) {
 	r := unserved(newBackend(t, "i-1", ok))
 	r.fresh.Confirm(bootTime())
 	r.admission.SetService("app", admission.Traits{Engine: true})
-	r.load.most.Store(1)
+	r.load.maxStreams.Store(1)
 	r.load.streams = 2
 	req := httptest.NewRequest(http.MethodPost, "/stream/", http.NoBody)
 	w := httptest.NewRecorder()
--- a/transport/direct/backoff_test.go
+++ b/transport/direct/backoff_test.go
@@ -31,7 +31,7 @@
 
 func (s *shedding) answer(w io.Writer, req *http.Request) bool {
 	if s.sound.Load() {
-		return slowly(w, req)
+		return respondSlowly(w, req)
 	}
 	headers := fmt.Sprintf("%s: %d\r\n", testAfter, s.after.Milliseconds())
 	if s.notRun {
@@ -45,7 +45,7 @@
 // A server refuses a request and requests a back-off of .8 s. It receives nothing in that
 // time, whoever calls, although it looks idle and whatever other answers of it start
 // meanwhile; it receives requests again soon after.
-func TestAServerThatAsksForNoRequestsGetsNone(t *testing.T) {
+func TestAServerThatRequestsABackoffReceivesNothing(t *testing.T) {
 	const after = 800 * time.Millisecond
 	for name, notRun := range map[string]bool{"that did not run": true, "that may have run": false} {
 		t.Run(name, func(t *testing.T) {
@@ -58,7 +58,7 @@
 				}
 				return sheds.answer(w, req)
 			})
-			f := start(t, testConfig(1), asks, newBackend(t, "i-2", slowly))
+			f := start(t, testConfig(1), asks, newBackend(t, "i-2", respondSlowly))
 			// An answer that starts during the back-off does not end it.
 			go f.call("/stream/", "before")
 			f.waitFor("the stream did not reach the server", func() bool { return len(asks.runs()) == 1 })
@@ -85,7 +85,7 @@
 // All servers of a service request a back-off: callers are refused at once, without a further
 // attempt at any server, and their Retry-After is when the first server accepts requests
 // again.
-func TestAllServersThatAskForNoRequestsGetNone(t *testing.T) {
+func TestAllServersThatRequestABackoffReceiveNothing(t *testing.T) {
 	long := &shedding{after: 2 * time.Second, status: http.StatusServiceUnavailable, notRun: true}
 	short := &shedding{after: time.Second, status: http.StatusServiceUnavailable, notRun: true}
 	a, b := newBackend(t, "i-1", long.answer), newBackend(t, "i-2", short.answer)
--- a/transport/direct/callers.go
+++ b/transport/direct/callers.go
@@ -12,8 +12,8 @@
 // conn returns the connection of the call, or nil.
 func (c *call) conn() net.Conn { return callerconn.Of(c.req.Context()) }
 
-// from returns the caller's address, or the zero address if it is unknown.
-func (c *call) from() netip.Addr {
+// callerAddress returns the caller's address, or the zero address if it is unknown.
+func (c *call) callerAddress() netip.Addr {
 	if conn := c.conn(); conn != nil {
 		return callerconn.AddressOf(conn.RemoteAddr())
 	}
@@ -33,19 +33,21 @@
 	c.r.callers.Told(c.conn(), short)
 }
 
-// leftLate is the mean read lateness from which the router checks whether a caller has
-// disconnected before it sends a request on; below it the runtime reports the disconnection in
-// time. The first request of a connection is always checked, as it may have waited long to be
-// accepted.
-const leftLate = 8 * time.Millisecond
+// disconnectCheckLateness is the mean read lateness from which the router checks whether a
+// caller has disconnected before it sends a request on; below it the runtime reports the
+// disconnection in time. The first request of a connection is always checked, as it may have
+// waited long to be accepted.
+const disconnectCheckLateness = 8 * time.Millisecond
 
 // isLate reports whether the router reads so late that callers may have disconnected
 // unnoticed.
-func (r *Router) isLate() bool { return time.Duration(r.load.late.Load()) >= leftLate }
+func (r *Router) isLate() bool {
+	return time.Duration(r.load.meanLateness.Load()) >= disconnectCheckLateness
+}
 
-// hasLeft reports whether the caller closed its connection while its request waited unread in
-// the socket buffer.
-func (c *call) hasLeft() bool {
+// hasDisconnected reports whether the caller closed its connection while its request waited
+// unread in the socket buffer.
+func (c *call) hasDisconnected() bool {
 	if !c.r.isLate() && !c.r.callers.IsFirst(c.conn()) {
 		return false
 	}
--- a/transport/direct/callers_test.go
+++ b/transport/direct/callers_test.go
@@ -17,18 +17,18 @@
 	"goldcrestport/protocol/settings"
 )
 
-// holding is a backend server that does not answer requests until it is told to.
-type holding struct {
+// pausedBackend is a backend server that does not answer requests until it is told to.
+type pausedBackend struct {
 	server  *backendServer
 	running atomic.Int64
 	release chan struct{}
 	replies chan reply
 }
 
-// startHolding runs a router with the given maximum number of callers' connections and a
-// holding server.
-func startHolding(t *testing.T, places int) (*fixture, *holding) {
-	h := &holding{release: make(chan struct{}), replies: make(chan reply, places)}
+// startPaused runs a router with the given maximum number of callers' connections and a
+// paused server.
+func startPaused(t *testing.T, places int) (*fixture, *pausedBackend) {
+	h := &pausedBackend{release: make(chan struct{}), replies: make(chan reply, places)}
 	h.server = newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool {
 		if req.URL.Path == "/safe/held" {
 			h.running.Add(1)
@@ -40,8 +40,8 @@
 	return f, h
 }
 
-// fill occupies every connection with a pending request.
-func (h *holding) fill(f *fixture, places int) {
+// fillConnections occupies every connection with a pending request.
+func (h *pausedBackend) fillConnections(f *fixture, places int) {
 	for i := range places {
 		go func() { h.replies <- f.call("/safe/held", fmt.Sprint("held", i)) }()
 	}
@@ -50,8 +50,8 @@
 	}
 }
 
-// empty lets the server answer the pending requests.
-func (h *holding) empty(f *fixture, places int) {
+// answerAll lets the server answer the pending requests.
+func (h *pausedBackend) answerAll(f *fixture, places int) {
 	close(h.release)
 	for range places {
 		f.Check((<-h.replies).status, qt.Equals, http.StatusOK)
@@ -60,7 +60,7 @@
 
 // An answer on a crowded router announces a short idle timeout; the next one, which announces
 // none, revokes it, or the connection ends.
-func TestAnAnswerTakesAShortLifeBack(t *testing.T) {
+func TestAnAnswerRevokesAShortIdleTimeout(t *testing.T) {
 	f := startWith(t, testConfig(1), func(set *settings.Direct, _ *testSource) { set.Callers.Connections = 8 }, newBackend(t, "i-1", ok))
 	conn, err := net.Dial("tcp", f.set.Listen.Callers)
 	f.Assert(err, qt.IsNil)
@@ -90,7 +90,7 @@
 	f.Check(f.router.callers.ShortLived(), qt.Equals, 0)
 	// A refusal is an answer, too.
 	f.source.changes <- mirror.Delta{Removed: []string{"i-1"}, Revision: 2}
-	f.waitFor("the server is still known", func() bool { return f.router.known() == 2 })
+	f.waitFor("the server is still known", func() bool { return f.router.knownRevision() == 2 })
 	f.Check(send(), qt.Equals, "")
 	f.Check(f.router.callers.ShortLived(), qt.Equals, 0)
 }
@@ -98,9 +98,9 @@
 // Callers who occupy every connection with idle ones, or with ones on which they never sent
 // anything, keep no new caller out; a router whose connections are all in use reports that it
 // is not ready.
-func TestAFullRouterMakesRoomOrIsNotReady(t *testing.T) {
+func TestAFullRouterClosesIdleConnectionsOrIsNotReady(t *testing.T) {
 	const places = 8
-	f, h := startHolding(t, places)
+	f, h := startPaused(t, places)
 	silent := func() {
 		for range places {
 			conn, err := net.Dial("tcp", f.set.Listen.Callers)
@@ -114,9 +114,9 @@
 	f.Check(time.Since(began) < time.Second, qt.IsTrue)
 	f.waitReady()
 
-	h.fill(f, places)
+	h.fillConnections(f, places)
 	f.Check(f.ready(), qt.Equals, http.StatusServiceUnavailable)
-	h.empty(f, places)
+	h.answerAll(f, places)
 	// The callers' connections end shortly after their answers.
 	f.waitReady()
 }
@@ -143,10 +143,10 @@
 // A caller waits for its connection to be accepted and disconnects meanwhile: its request is
 // read once a connection is free and must not be sent on, even though the router is not late.
 // It happened when a flood occupied every connection of a small router.
-func TestWhoLeftWhileWaitingForAPlaceIsNotServed(t *testing.T) {
+func TestACallerThatDisconnectsBeforeAcceptIsNotServed(t *testing.T) {
 	const places = 4
-	f, h := startHolding(t, places)
-	h.fill(f, places)
+	f, h := startPaused(t, places)
+	h.fillConnections(f, places)
 	const left = 50
 	for i := range left {
 		conn, err := net.Dial("tcp", f.set.Listen.Callers)
@@ -155,7 +155,7 @@
 		f.Assert(err, qt.IsNil)
 		f.Assert(conn.Close(), qt.IsNil)
 	}
-	h.empty(f, places)
+	h.answerAll(f, places)
 	f.Check(f.call("/safe/", "after").status, qt.Equals, http.StatusOK)
 	for _, id := range h.server.runs() {
 		f.Check(strings.HasPrefix(id, "left"), qt.IsFalse, qt.Commentf(id))
--- a/transport/direct/changes.go
+++ b/transport/direct/changes.go
@@ -14,9 +14,9 @@
 	"goldcrestport/transport/link"
 )
 
-// known returns the revision up to which this router is complete; 0 means that it must read
-// everything.
-func (r *Router) known() uint64 {
+// knownRevision returns the revision up to which this router is complete; 0 means that it must
+// read everything.
+func (r *Router) knownRevision() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.mirror.Revision()
@@ -71,7 +71,7 @@
 	if err := stream.MsgRecv(&want, link.Records{}); err != nil {
 		return err
 	}
-	have, err := r.mirrored(want)
+	have, err := r.changesFor(want)
 	if err != nil {
 		return err
 	}
@@ -83,8 +83,8 @@
 	return stream.MsgSend(have, link.Records{})
 }
 
-// mirrored returns this router's mirror of the store for another router.
-func (r *Router) mirrored(want changesRequest) (*changesAnswer, error) {
+// changesFor returns this router's mirror of the store for another router.
+func (r *Router) changesFor(want changesRequest) (*changesAnswer, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.mirror.Revision() < want.Revision || r.mirror.Config() == nil {
@@ -110,8 +110,8 @@
 // peerCallTimeout bounds a call to another router, which usually takes a few milliseconds.
 const peerCallTimeout = 300 * time.Millisecond
 
-// askPeer fetches the state of the router that confirmed the pending revision as current.
-func (f *follower) askPeer(ctx context.Context) error {
+// fetchFromPeer fetches the state of the router that confirmed the pending revision as current.
+func (f *follower) fetchFromPeer(ctx context.Context) error {
 	r := f.r
 	r.mu.Lock()
 	address, want := r.peers[r.pending.router].Address, changesRequest{Revision: r.pending.revision, Have: r.mirror.Revision()}
@@ -126,25 +126,25 @@
 	if address == "" {
 		return errBehind
 	}
-	return f.takeFrom(ctx, address, want)
+	return f.fetchFrom(ctx, address, want)
 }
 
-// askSeeds fetches the state of a seed when this router started while the store was
+// fetchFromSeeds fetches the state of a seed when this router started while the store was
 // unavailable. It does not confirm that the state is current.
-func (f *follower) askSeeds(ctx context.Context) {
+func (f *follower) fetchFromSeeds(ctx context.Context) {
 	for _, seed := range f.r.set.Seeds {
 		if seed == f.r.set.Listen.Seeds {
 			continue
 		}
-		if err := f.takeFrom(ctx, seed, changesRequest{}); err == nil {
-			f.r.event("began_by_seed", "seed", seed, "revision", f.r.known())
+		if err := f.fetchFrom(ctx, seed, changesRequest{}); err == nil {
+			f.r.event("began_by_seed", "seed", seed, "revision", f.r.knownRevision())
 			return
 		}
 	}
 }
 
-// takeFrom fetches and applies the state of the router at the address.
-func (f *follower) takeFrom(ctx context.Context, address string, want changesRequest) error {
+// fetchFrom fetches and applies the state of the router at the address.
+func (f *follower) fetchFrom(ctx context.Context, address string, want changesRequest) error {
 	r := f.r
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
@@ -162,22 +162,22 @@
 	}
 	f.storeBack(!got.Settling, sent)
 	if got.Changes != nil {
-		r.take(got.Changes.Config)
+		r.adoptIfPresent(got.Changes.Config)
 		r.update(*got.Changes)
 	} else {
-		r.take(got.Whole.Config)
+		r.adoptIfPresent(got.Whole.Config)
 		r.replace(*got.Whole)
 	}
 	r.mu.Lock()
-	r.reached()
+	r.confirmPending()
 	r.mu.Unlock()
 	// The other router's state is complete, as if it were read from the store.
 	f.loaded = time.Now()
 	return nil
 }
 
-// take adopts a configuration if there is one.
-func (r *Router) take(c *routing.Config) {
+// adoptIfPresent adopts a configuration if there is one.
+func (r *Router) adoptIfPresent(c *routing.Config) {
 	if c != nil {
 		r.adopt(c)
 	}
--- a/transport/direct/cold.go
+++ b/transport/direct/cold.go
@@ -22,14 +22,14 @@
 // the store is certain to be valid.
 type membership struct{ from, until time.Duration }
 
-// stands reports whether the registration is valid at the time.
-func (m membership) stands(now time.Duration) bool {
+// isValid reports whether the registration is valid at the time.
+func (m membership) isValid(now time.Duration) bool {
 	return m.from > 0 && now >= m.from && now < m.until
 }
 
-// renewed records that a call sent at the time renewed this router's entry, or created it
+// recordRenewal records that a call sent at the time renewed this router's entry, or created it
 // anew.
-func (r *Router) renewed(sent time.Duration, anew bool) {
+func (r *Router) recordRenewal(sent time.Duration, anew bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if anew {
@@ -48,9 +48,9 @@
 	return all
 }
 
-// warm applies what entries say about cold servers, before the mirror has them. Entries that
-// are already known are skipped. The caller holds mu.
-func (r *Router) warm(entries []roster.Server) {
+// recordColdServers applies what entries say about cold servers, before the mirror has them.
+// Entries that are already known are skipped. The caller holds mu.
+func (r *Router) recordColdServers(entries []roster.Server) {
 	now := time.Now()
 	for _, one := range entries {
 		if known, is := r.mirror.Server(one.ID); is && known.Revision == one.Revision && one.Revision > 0 {
--- a/transport/direct/config.go
+++ b/transport/direct/config.go
@@ -32,61 +32,61 @@
 	// the start of the last wait, so it is at most twice this old under low load; the users'
 	// bound for keys is 5 s.
 	watchWait = time.Second
-	// awaitStep is the interval of the checks whether other routers still confirm the current
+	// awaitInterval is the interval of the checks whether other routers still confirm the current
 	// revision.
-	awaitStep = 100 * time.Millisecond
+	awaitInterval = 100 * time.Millisecond
 	// catchUpDelay is the delay before reading changes that other routers have, so that a
 	// series of them takes one call; catchUpWait is the wait of that call, which has changes
 	// to return at once.
 	catchUpDelay = 150 * time.Millisecond
 	catchUpWait  = 50 * time.Millisecond
-	// wantedWait is the wait of a call on whose result a request waits.
-	wantedWait = 5 * time.Millisecond
+	// urgentWait is the wait of a call on whose result a request waits.
+	urgentWait = 5 * time.Millisecond
 	// callTimeout bounds a call to the store in addition to its wait. On the users' slow days
 	// an answer takes 250 ms.
 	callTimeout = 800 * time.Millisecond
-	// storePause is the interval between calls to a store that fails.
-	storePause = 150 * time.Millisecond
+	// storeRetryPause is the interval between calls to a store that fails.
+	storeRetryPause = 150 * time.Millisecond
 	// startPause is the interval between calls of a router that has no configuration yet:
 	// whole fleets start at the same time.
 	startPause = 150 * time.Millisecond
-	// retryEvery is the interval between calls to a store that does not answer this router
-	// while other routers still send updates.
-	retryEvery = time.Second
-	// othersSilent is how long after the last message showing that the store answers other
+	// partitionedRetryInterval is the interval between calls to a store that does not answer
+	// this router while other routers still send updates.
+	partitionedRetryInterval = time.Second
+	// peerSilenceLimit is how long after the last message showing that the store answers other
 	// routers it may be unavailable to all: in some fleets such a message comes once a second.
-	othersSilent = 1500 * time.Millisecond
-	// resyncEvery is the interval after which everything is read again in case a watch missed
+	peerSilenceLimit = 1500 * time.Millisecond
+	// resyncInterval is the interval after which everything is read again in case a watch missed
 	// a change. Only routers that watch do so.
-	resyncEvery = 15 * time.Second
-	// sweepEvery is the interval between sweeps of idle connections and lapsed servers.
-	sweepEvery = 200 * time.Millisecond
-	// registerTTL is the lifetime of this router's entry without a renewal, and registerEvery
+	resyncInterval = 15 * time.Second
+	// sweepInterval is the interval between sweeps of idle connections and lapsed servers.
+	sweepInterval = 200 * time.Millisecond
+	// registerTTL is the lifetime of this router's entry without a renewal, and registerInterval
 	// the interval between renewals.
-	registerTTL   = 9 * time.Second
-	registerEvery = 3 * time.Second
-	// unreadyShare is the share of the freshness bound from which an older configuration makes
-	// the router unready: callers are better served by other routers.
-	unreadyShare = 0.6
-	// cutReady is how long a router stays ready without an answer of its own from the store,
-	// even if other routers send it updates: callers are better served by those.
-	cutReady = 1500 * time.Millisecond
+	registerTTL      = 9 * time.Second
+	registerInterval = 3 * time.Second
+	// unreadyFreshnessShare is the share of the freshness bound from which an older
+	// configuration makes the router unready: callers are better served by other routers.
+	unreadyFreshnessShare = 0.6
+	// partitionedReadyTime is how long a router stays ready without an answer of its own from
+	// the store, even if other routers send it updates: callers are better served by those.
+	partitionedReadyTime = 1500 * time.Millisecond
 	// outcomeSlack is the time after a request's deadline in which its last bytes may still be
 	// written to the caller.
 	outcomeSlack = 300 * time.Millisecond
-	// wholeBody is the size up to which an answer is buffered whole before it is relayed, so
+	// maxBufferedBody is the size up to which an answer is buffered whole before it is relayed, so
 	// that the request can be retried if the answer breaks off.
-	wholeBody = 64 << 10
+	maxBufferedBody = 64 << 10
 	// relayBuffer is the read size for a longer answer.
 	relayBuffer = 4 << 10
-	// sends bounds the servers that one request is sent to, including those that refused it.
-	sends = 4
+	// maxSends bounds the servers that one request is sent to, including those that refused it.
+	maxSends = 4
 	// defaultDeadline applies to callers that do not say how long they wait.
 	defaultDeadline = 30 * time.Second
-	// busyReturn is the Retry-After of a router that is too busy: short, as the caller's next
+	// busyRetryAfter is the Retry-After of a router that is too busy: short, as the caller's next
 	// attempt reaches another router.
-	busyReturn = 20 * time.Millisecond
-	// staleReturn is the Retry-After of a router that cannot show that its configuration is
+	busyRetryAfter = 20 * time.Millisecond
+	// staleRetryAfter is the Retry-After of a router that cannot show that its configuration is
 	// current.
-	staleReturn = 300 * time.Millisecond
+	staleRetryAfter = 300 * time.Millisecond
 )
--- a/transport/direct/crash_test.go
+++ b/transport/direct/crash_test.go
@@ -31,17 +31,17 @@
 // A request under which three servers crashed is sent at most three times more, counted from
 // when connected routers have had time to receive the reports.
 const (
-	crashesToKnow = 3
-	furtherSends  = 3
-	contactTime   = 3 * time.Second
+	confirmingCrashes = 3
+	furtherSends      = 3
+	reportDelay       = 3 * time.Second
 )
 
 // crashBody is the body of the request that crashes each server that starts it.
 const crashBody = "crash"
 
-// soundBody is the body of a request that any server runs without fault; the servers tell the
+// harmlessBody is the body of a request that any server runs without fault; the servers tell the
 // two apart by their lengths.
-const soundBody = "no crash"
+const harmlessBody = "no crash"
 
 // crashWay simulates how a server crashes under the request. It returns when the server is
 // gone.
@@ -73,8 +73,8 @@
 	time.Sleep(20 * time.Millisecond)
 }
 
-// itsConnectionFirst: the request's connection ends shortly before the process does.
-func itsConnectionFirst(w io.Writer, req *http.Request) {
+// connectionEndsFirst: the request's connection ends shortly before the process does.
+func connectionEndsFirst(w io.Writer, req *http.Request) {
 	inTheMiddle(w, req)
 	_ = w.(net.Conn).Close()
 	time.Sleep(5 * time.Millisecond)
@@ -132,17 +132,17 @@
 	}
 	for _, one := range f.routers {
 		for _, other := range f.routers {
-			one.meet(other)
+			one.registerPeer(other)
 		}
 	}
 	for i := range servers {
-		f.begin(fmt.Sprintf("i-%d", i))
+		f.startServer(fmt.Sprintf("i-%d", i))
 	}
 	return f
 }
 
-// begin starts a new incarnation of the server and registers it.
-func (f *fleet) begin(id string) {
+// startServer starts a new incarnation of the server and registers it.
+func (f *fleet) startServer(id string) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(f.t, err, qt.IsNil)
 	c := &crashable{listener: lis}
@@ -184,24 +184,24 @@
 		f.mu.Lock()
 		f.crashes = append(f.crashes, time.Now())
 		f.mu.Unlock()
-		time.AfterFunc(f.down, func() { f.begin(id) })
+		time.AfterFunc(f.down, func() { f.startServer(id) })
 	}
 	return false
 }
 
-// known returns when three servers had crashed and the routers had time to receive the
+// confirmedAt returns when three servers had crashed and the routers had time to receive the
 // reports; zero before.
-func (f *fleet) known() time.Time {
+func (f *fleet) confirmedAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.crashes) < crashesToKnow {
+	if len(f.crashes) < confirmingCrashes {
 		return time.Time{}
 	}
-	return f.crashes[crashesToKnow-1].Add(contactTime)
+	return f.crashes[confirmingCrashes-1].Add(reportDelay)
 }
 
-// late counts the arrivals after the given time.
-func (f *fleet) late(from time.Time) (n int) {
+// arrivalsAfter counts the arrivals after the given time.
+func (f *fleet) arrivalsAfter(from time.Time) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, at := range f.arrivals {
@@ -213,13 +213,14 @@
 }
 
 // count returns the number of arrivals.
-func (f *fleet) count() int { return f.late(time.Time{}) }
+func (f *fleet) count() int { return f.arrivalsAfter(time.Time{}) }
 
-// insist sends the request to the routers in turn, as a new attempt each time, until the fleet
-// has had time to quarantine it and for the given time longer. It returns the last answer.
-func (f *fleet) insist(path string, every, longer time.Duration) (last reply) {
+// sendRepeatedly sends the request to the routers in turn, as a new attempt each time, until
+// the fleet has had time to quarantine it and for the given time longer. It returns the last
+// answer.
+func (f *fleet) sendRepeatedly(path string, every, longer time.Duration) (last reply) {
 	for i := 0; ; i++ {
-		if known := f.known(); !known.IsZero() && time.Now().After(known.Add(longer)) {
+		if known := f.confirmedAt(); !known.IsZero() && time.Now().After(known.Add(longer)) {
 			return last
 		}
 		if i > 2000 {
@@ -231,10 +232,10 @@
 }
 
 // A stream that crashes each server that starts it is sent again and again to three routers.
-func TestARequestThatCrashesServersReachesFewMore(t *testing.T) {
+func TestARequestThatCrashesServersIsQuarantined(t *testing.T) {
 	f := startFleet(t, 3, 6, afterTheHead)
-	f.insist("/stream/a", 40*time.Millisecond, 1500*time.Millisecond)
-	qt.Check(t, f.late(f.known()) <= furtherSends, qt.IsTrue, qt.Commentf("%d sends beyond the third crash, %d servers crashed", f.late(f.known()), len(f.crashes)))
+	f.sendRepeatedly("/stream/a", 40*time.Millisecond, 1500*time.Millisecond)
+	qt.Check(t, f.arrivalsAfter(f.confirmedAt()) <= furtherSends, qt.IsTrue, qt.Commentf("%d sends beyond the third crash, %d servers crashed", f.arrivalsAfter(f.confirmedAt()), len(f.crashes)))
 }
 
 // However the server crashes under it and whatever kind of request it is, its last attempts
@@ -255,28 +256,28 @@
 		"once, at once":             {"/once/a", atOnce},
 		"once, afterwards":          {"/once/a", afterTheAnswer},
 		// Guards against a crash that is missed because the server still accepted connections.
-		"stream, its connection first":     {"/stream/a", itsConnectionFirst},
-		"resumable, its connection first":  {"/resume/a", itsConnectionFirst},
-		"idempotent, its connection first": {"/safe/a", itsConnectionFirst},
-		"once, its connection first":       {"/once/a", itsConnectionFirst},
+		"stream, its connection first":     {"/stream/a", connectionEndsFirst},
+		"resumable, its connection first":  {"/resume/a", connectionEndsFirst},
+		"idempotent, its connection first": {"/safe/a", connectionEndsFirst},
+		"once, its connection first":       {"/once/a", connectionEndsFirst},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := startFleet(t, 3, 5, c.way)
-			last := f.insist(c.path, 60*time.Millisecond, time.Second)
-			qt.Check(t, f.late(f.known()) <= furtherSends, qt.IsTrue, qt.Commentf("%d sends beyond the third crash, %d servers crashed", f.late(f.known()), len(f.crashes)))
+			last := f.sendRepeatedly(c.path, 60*time.Millisecond, time.Second)
+			qt.Check(t, f.arrivalsAfter(f.confirmedAt()) <= furtherSends, qt.IsTrue, qt.Commentf("%d sends beyond the third crash, %d servers crashed", f.arrivalsAfter(f.confirmedAt()), len(f.crashes)))
 			qt.Check(t, last.status, qt.Equals, http.StatusBadRequest)
 			qt.Check(t, last.header.Get("Retry-After"), qt.Equals, "")
 			qt.Check(t, last.header.Get(outcome.Header), qt.Equals, string(outcome.NotRun))
 			for i, router := range f.routers {
-				qt.Check(t, router.send("/stream/b", fmt.Sprint("sound-", i), soundBody).status, qt.Equals, http.StatusOK)
+				qt.Check(t, router.send("/stream/b", fmt.Sprint("sound-", i), harmlessBody).status, qt.Equals, http.StatusOK)
 			}
 		})
 	}
 }
 
 // Callers send copies to several routers at the same time, before any router has reports.
-func TestCopiesAtOneMomentAreFewAfterwards(t *testing.T) {
+func TestConcurrentCopiesOfACrashingRequestAreQuarantined(t *testing.T) {
 	f := startFleet(t, 3, 9, afterTheHead)
 	send := func(round int) {
 		var all sync.WaitGroup
@@ -287,27 +288,27 @@
 		}
 		all.Wait()
 	}
-	for round := 0; f.known().IsZero(); round++ {
+	for round := 0; f.confirmedAt().IsZero(); round++ {
 		send(round)
 	}
 	for round := range 4 {
-		time.Sleep(time.Until(f.known()))
+		time.Sleep(time.Until(f.confirmedAt()))
 		send(100 + round)
 		time.Sleep(500 * time.Millisecond)
 	}
-	qt.Check(t, f.late(f.known()) <= furtherSends, qt.IsTrue, qt.Commentf("%d sends beyond the third crash, %d servers crashed", f.late(f.known()), len(f.crashes)))
+	qt.Check(t, f.arrivalsAfter(f.confirmedAt()) <= furtherSends, qt.IsTrue, qt.Commentf("%d sends beyond the third crash, %d servers crashed", f.arrivalsAfter(f.confirmedAt()), len(f.crashes)))
 }
 
 // A router that starts after the crashes learns of them from the other routers, and an
 // operator's release at one router clears the request at all of them.
-func TestARouterThatStartsLaterKnowsWhatIsRefused(t *testing.T) {
+func TestARouterThatStartsLaterLearnsRefusedRequests(t *testing.T) {
 	f := startFleet(t, 2, 5, afterTheHead)
-	f.insist("/stream/a", 40*time.Millisecond, 0)
+	f.sendRepeatedly("/stream/a", 40*time.Millisecond, 0)
 	began := f.count()
 	late := startPeer(t, "late", testConfig(1))
 	for _, one := range f.routers {
-		one.meet(late)
-		late.meet(one)
+		one.registerPeer(late)
+		late.registerPeer(one)
 	}
 	late.waitFor("the later router did not receive the reports", func() bool { return late.router.inQuarantine((*quarantine.State).RefusedCount) == 1 })
 	late.Check(late.send("/stream/a", "x", crashBody).status, qt.Equals, http.StatusBadRequest)
@@ -315,10 +316,10 @@
 
 	list := httptest.NewRecorder()
 	late.router.metricsHandler().ServeHTTP(list, httptest.NewRequest(http.MethodGet, "/quarantine", nil))
-	var entries []listed
+	var entries []refusedRequest
 	late.Assert(json.Unmarshal(list.Body.Bytes(), &entries), qt.IsNil)
 	late.Assert(entries, qt.HasLen, 1)
-	late.Check(len(entries[0].Crashes) >= crashesToKnow, qt.IsTrue)
+	late.Check(len(entries[0].Crashes) >= confirmingCrashes, qt.IsTrue)
 	kept := func() (all []quarantine.Entry) {
 		for _, one := range append(f.routers, late) {
 			all = append(all, one.source.kept()...)
--- a/transport/direct/crashes.go
+++ b/transport/direct/crashes.go
@@ -21,26 +21,26 @@
 	"goldcrestport/transport/probe"
 )
 
-// suspectReturn is the Retry-After while another attempt of the same request is at a server
+// suspectRetryAfter is the Retry-After while another attempt of the same request is at a server
 // and servers crashed under earlier ones: about the duration of a short answer.
-const suspectReturn = 500 * time.Millisecond
+const suspectRetryAfter = 500 * time.Millisecond
 
 // endQuarantined ends the request if servers crash under it, or may do so. It reports whether
 // it did.
 func (c *call) endQuarantined() bool {
 	c.r.mu.Lock()
-	verdict := c.r.quarantine.Check(time.Now(), c.content)
-	c.r.noteQuarantine()
+	verdict := c.r.quarantine.Check(time.Now(), c.fingerprint)
+	c.r.handleQuarantineEvents()
 	c.r.mu.Unlock()
 	switch {
 	case verdict == quarantine.Pass:
 		return false
-	case c.begun:
-		c.cut("quarantined")
+	case c.answerBegun:
+		c.abortAnswer("quarantined")
 	case c.reached > 0:
 		c.fail(outcome.ReasonAnswerLost, http.StatusBadGateway, "the backend server crashed while it ran the request")
 	case verdict == quarantine.Wait:
-		c.refuse(*notRun(outcome.ReasonSuspect, suspectReturn, "another attempt of this request is running, and backend servers crashed under earlier ones"))
+		c.refuse(*notRun(outcome.ReasonSuspect, suspectRetryAfter, "another attempt of this request is running, and backend servers crashed under earlier ones"))
 	default:
 		// A status that callers do not retry: a retry would end the same way.
 		c.refuse(outcome.Refuse(outcome.ReasonCrashes, http.StatusBadRequest, 0, "backend servers crashed under each earlier attempt of this request; it has not run this time"))
@@ -48,41 +48,41 @@
 	return true
 }
 
-// sendBegins records that the request is being sent to the server.
-func (r *Router) sendBegins(content quarantine.Fingerprint, server roster.Server) *quarantine.Run {
+// beginSend records that the request is being sent to the server.
+func (r *Router) beginSend(fingerprint quarantine.Fingerprint, server roster.Server) *quarantine.Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.quarantine.Begin(content, server.Identity())
+	return r.quarantine.Begin(fingerprint, server.Identity())
 }
 
-func (r *Router) sendEnded(run *quarantine.Run, how quarantine.Ending) {
+func (r *Router) endSend(run *quarantine.Run, how quarantine.Ending) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.quarantine.End(time.Now(), run, how)
 }
 
-// ended records how the send ended. If its answer broke off, it returns after the server was
-// probed.
-func (c *call) ended(sent *quarantine.Run, server roster.Server, how quarantine.Ending) {
-	c.r.sendEnded(sent, how)
+// attemptEnded records how the send ended. If its answer broke off, it returns after the
+// server was probed.
+func (c *call) attemptEnded(sent *quarantine.Run, server roster.Server, how quarantine.Ending) {
+	c.r.endSend(sent, how)
 	if how == quarantine.Broken {
-		c.r.lookAfterBreak(server)
+		c.r.probeAfterBreak(server)
 	}
 }
 
-// mayCarryOn reports whether the router may send the request to another server after it has
-// arrived at one.
-func (c *call) mayCarryOn() bool {
+// mayRetryAfterCrash reports whether the router may send the request to another server after
+// it has arrived at one.
+func (c *call) mayRetryAfterCrash() bool {
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
-	return c.r.quarantine.MayRepeat(c.content)
+	return c.r.quarantine.MayRepeat(c.fingerprint)
 }
 
 // errAnswered marks the failure of a server that gave its whole answer.
 var errAnswered = errors.New("the server answered")
 
-// endingOf returns how a run ended, from what became of its answer.
-func endingOf(ctx context.Context, next step, result health.Result, err error) quarantine.Ending {
+// runEnding returns how a run ended, from what became of its answer.
+func runEnding(ctx context.Context, next step, result health.Result, err error) quarantine.Ending {
 	switch {
 	case next == done && result != health.NoResult, errors.Is(err, errAnswered):
 		return quarantine.Complete
@@ -109,8 +109,9 @@
 
 func newProbes() *probes { return &probes{open: make(map[string]chan struct{})} }
 
-// join returns the probe of the server that is under way, and whether the caller must run it.
-func (p *probes) join(server string) (ended chan struct{}, mine bool) {
+// joinOrStart returns the probe of the server that is under way, and whether the caller must
+// run it.
+func (p *probes) joinOrStart(server string) (ended chan struct{}, mine bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if ended, under := p.open[server]; under {
@@ -128,13 +129,13 @@
 	delete(p.open, server)
 }
 
-// lookAfterBreak probes whether a server whose answer broke off still accepts connections: a
+// probeAfterBreak probes whether a server whose answer broke off still accepts connections: a
 // crashed one refuses them, a running one was disconnected on the way, and for one that does
 // not respond the store's entry decides. It returns once the result is known, so that what
 // follows can use it, and at the latest after the pool's timeout for opening a connection.
-func (r *Router) lookAfterBreak(server roster.Server) {
+func (r *Router) probeAfterBreak(server roster.Server) {
 	identity := server.Identity()
-	ended, mine := r.probes.join(identity)
+	ended, mine := r.probes.joinOrStart(identity)
 	if !mine {
 		<-ended
 		return
@@ -146,15 +147,15 @@
 		r.quarantine.Alive(time.Now(), identity)
 		r.mu.Unlock()
 	case completeness.Refuses:
-		r.crashed(server)
+		r.serverCrashed(server)
 	}
 }
 
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// crashed records that the server refuses connections. One that announced its shutdown, or
+// serverCrashed records that the server refuses connections. One that announced its shutdown, or
 // whose entry is gone, has ended as it should.
-func (r *Router) crashed(server roster.Server) {
+func (r *Router) serverCrashed(server roster.Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, is := r.servers[server.ID]
@@ -162,24 +163,24 @@
 		return
 	}
 	r.quarantine.Crash(time.Now(), server.Identity())
-	r.noteQuarantine()
+	r.handleQuarantineEvents()
 }
 
-// gone records that a server's entry was removed, or that a later incarnation has its id,
+// serverGone records that a server's entry was removed, or that a later incarnation has its id,
 // without the server having announced its shutdown. The caller holds mu.
-func (r *Router) gone(change roster.Change) {
+func (r *Router) serverGone(change roster.Change) {
 	switch change.Reason {
 	case roster.ReasonRestarted:
 		r.quarantine.Crash(time.Now(), change.Server.Identity())
 	case roster.ReasonRemoved, roster.ReasonLapsed:
 		r.quarantine.Gone(time.Now(), change.Server.Identity())
 	}
-	r.noteQuarantine()
+	r.handleQuarantineEvents()
 }
 
-// noteQuarantine logs and counts quarantine events and wakes the sender of crash reports. The
-// caller holds mu.
-func (r *Router) noteQuarantine() {
+// handleQuarantineEvents logs and counts quarantine events and wakes the sender of crash
+// reports. The caller holds mu.
+func (r *Router) handleQuarantineEvents() {
 	for _, e := range r.quarantine.Events() {
 		switch e.Kind {
 		case quarantine.Crashed:
@@ -187,18 +188,18 @@
 			r.event("backend_server_crashed", "server", e.Server, "suspects", e.Suspects)
 		case quarantine.Confirmed:
 			r.metrics.confirmed.Add(1)
-			servers, times, told := writeStrikes(e.Strikes)
-			r.event("request_quarantined", "content", e.Content, "cause", e.Cause, "servers", servers, "crashed_at", times, "told_by", told)
+			servers, times, reportedBy := writeStrikes(e.Strikes)
+			r.event("request_quarantined", "content", e.Content, "cause", e.Cause, "servers", servers, "crashed_at", times, "told_by", reportedBy)
 		case quarantine.Cleared:
 			r.metrics.cleared.Add(1)
-			if allowed, dropped := r.failures.Allow("request_cleared", time.Now()); allowed {
+			if allowed, dropped := r.failureLines.Allow("request_cleared", time.Now()); allowed {
 				r.event("request_cleared", "content", e.Content, "cause", e.Cause, "left_out", dropped)
 			}
 		}
 	}
 	if r.quarantine.HasUnsent() {
 		select {
-		case r.suspected <- struct{}{}:
+		case r.reportsReady <- struct{}{}:
 		default:
 		}
 	}
@@ -209,7 +210,7 @@
 
 // writeStrikes lists the servers that crashed, when, and which routers reported that the
 // request ran there.
-func writeStrikes(strikes []quarantine.Strike) (servers, times, told string) {
+func writeStrikes(strikes []quarantine.Strike) (servers, times, reportedBy string) {
 	var s, t, by []string
 	for _, one := range strikes {
 		s, t, by = append(s, one.Server), append(t, one.At.UTC().Format(strikeTime)), append(by, strings.Join(one.ReportedBy, "+"))
--- a/transport/direct/direct_test.go
+++ b/transport/direct/direct_test.go
@@ -73,7 +73,7 @@
 
 // A revoked key stops working also at a router that cannot reach the store: within the
 // freshness bound, it refuses every key. Public routes keep working.
-func TestKeysNeedKnowledgeThatIsFresh(t *testing.T) {
+func TestKeysNeedAFreshConfiguration(t *testing.T) {
 	f := start(t, testConfig(1), newBackend(t, "i-1", ok))
 	f.Check(f.call("/keyed/", "a", testKey, "key").status, qt.Equals, http.StatusOK)
 	f.source.setDown(true)
@@ -93,7 +93,7 @@
 
 // A request whose server fails when the configuration is no longer known to be current is not
 // retried, and ends at once.
-func TestNothingIsRepeatedOnOldKnowledge(t *testing.T) {
+func TestNothingIsRetriedOnAStaleConfiguration(t *testing.T) {
 	slow := func(io.Writer, *http.Request) bool {
 		time.Sleep(600 * time.Millisecond)
 		return false
@@ -266,7 +266,7 @@
 }
 
 // Servers that are draining or whose entries are removed receive no new requests.
-func TestLeavingServersGetNoWork(t *testing.T) {
+func TestDrainingServersReceiveNoRequests(t *testing.T) {
 	a, b := newBackend(t, "i-1", ok), newBackend(t, "i-2", ok)
 	f := start(t, testConfig(1), a, b)
 	leaving := servers(a)[0]
@@ -284,7 +284,7 @@
 
 // During a planned shutdown the router is unready at once, still accepts new requests for a
 // while, asks callers to close kept connections, and completes the requests in flight.
-func TestAPlannedStopCutsNothing(t *testing.T) {
+func TestAPlannedShutdownCutsNothing(t *testing.T) {
 	b := newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool { return events(w, req, 10, 20*time.Millisecond, false) })
 	f := start(t, testConfig(1), b)
 	running := make(chan reply, 1)
@@ -306,7 +306,7 @@
 
 // While a router shuts down, it refuses streams, as they may outlast it, and serves short
 // requests until the end.
-func TestALeavingRouterServesShortRequests(t *testing.T) {
+func TestARouterThatShutsDownServesShortRequests(t *testing.T) {
 	long := func(w io.Writer, req *http.Request) bool {
 		if req.URL.Path == "/safe/" {
 			return ok(w, req)
@@ -318,7 +318,7 @@
 	go func() { running <- f.call("/stream/", "r1") }()
 	time.Sleep(30 * time.Millisecond)
 	close(f.stop)
-	for !f.router.leaving.Load() {
+	for !f.router.shuttingDown.Load() {
 		time.Sleep(5 * time.Millisecond)
 	}
 	refused := f.call("/stream/", "r2")
@@ -330,13 +330,13 @@
 
 // A router that learns that another one has a newer revision fetches it from there, and the
 // revision counts as current only if the other router's message answers one of its own.
-func TestKnowledgeComesFromAnotherRouter(t *testing.T) {
+func TestChangesAreFetchedFromAPeer(t *testing.T) {
 	b := newBackend(t, "i-1", ok)
 	watcher := startPeer(t, "watcher", testConfig(1), b)
 	follower := startPeer(t, "follower", testConfig(1), b)
 	follower.source.setDown(true)
-	follower.meet(watcher)
-	watcher.meet(follower)
+	follower.registerPeer(watcher)
+	watcher.registerPeer(follower)
 	c := testConfig(9)
 	c.Teams[0].Keys = []string{"new"}
 	watcher.source.changes <- mirror.Delta{Config: c, Revision: 50, Joined: map[string]mirror.Registration{
@@ -349,7 +349,7 @@
 	follower.Check(follower.call("/keyed/", "x", testKey, "new").status, qt.Equals, http.StatusOK)
 	follower.Check(follower.call("/keyed/", "y", testKey, "key").status, qt.Equals, http.StatusUnauthorized)
 	// It serves callers that come, and asks the load balancer to send callers elsewhere.
-	time.Sleep(cutReady)
+	time.Sleep(partitionedReadyTime)
 	follower.Check(follower.ready(), qt.Equals, http.StatusServiceUnavailable)
 	// Without the watcher the follower stops serving.
 	watcher.end()
@@ -359,14 +359,14 @@
 
 // Every call to the store is paid for: a router that other routers keep up to date makes none,
 // however many changes there are.
-func TestAFollowerDoesNotAskTheStore(t *testing.T) {
+func TestAFollowerDoesNotCallTheStore(t *testing.T) {
 	b := newBackend(t, "i-1", ok)
 	routers := []*fixture{startPeer(t, "a", testConfig(1), b), startPeer(t, "b", testConfig(1), b), startPeer(t, "c", testConfig(1), b)}
 	ids := make([]string, len(routers))
 	for i, one := range routers {
 		ids[i] = one.set.ID
 		for _, other := range routers {
-			one.meet(other)
+			one.registerPeer(other)
 		}
 	}
 	watchers := watchduty.DefaultConfig().Chosen(ids)
@@ -387,15 +387,15 @@
 // A watcher that the store refuses repeats its last confirmation; only a new one may count as
 // received, or every router would wait its full wait time to learn what changed. It happened
 // when both watchers of a small site were refused.
-func TestARepeatedWordIsNoNewOne(t *testing.T) {
+func TestARepeatedConfirmationIsNotNew(t *testing.T) {
 	set := settings.DefaultDirect()
 	set.ID = "follower"
 	r := New(set, Config{Admission: admission.DefaultConfig(), Roster: roster.DefaultConfig(), Staleness: staleness.DefaultConfig(), Freshness: time.Second}, &testSource{}, testDialect{}, log.NewNopLogger())
 	seq := uint32(0)
 	tell := func(heard uint32) time.Duration {
 		seq++
-		r.hear(digest.Message{Router: "watcher", Seq: seq, Heard: heard, Revision: 1})
-		return r.toldAt
+		r.receiveMessage(digest.Message{Router: "watcher", Seq: seq, Heard: heard, Revision: 1})
+		return r.confirmedAt
 	}
 	r.witness.Sent(7, bootTime())
 	first := tell(7)
@@ -414,13 +414,13 @@
 	b := newBackend(t, "i-1", ok)
 	watcher, follower := startPeer(t, "a", testConfig(1), b), startPeer(t, "b", testConfig(1), b)
 	follower.source.setDown(true)
-	watcher.meet(follower)
-	follower.meet(watcher)
+	watcher.registerPeer(follower)
+	follower.registerPeer(watcher)
 	watcher.source.changes <- mirror.Delta{Revision: 10, Servers: []roster.Server{{ID: "i-1", Address: b.address, Service: "app", Slots: 8, Draining: true}}}
-	for n := 0; follower.router.metrics.passed.Value() == 0 && n < 100; n++ {
+	for n := 0; follower.router.metrics.changesAttached.Value() == 0 && n < 100; n++ {
 		time.Sleep(5 * time.Millisecond)
 	}
-	follower.Check(follower.router.metrics.passed.Value(), qt.Equals, int64(1))
+	follower.Check(follower.router.metrics.changesAttached.Value(), qt.Equals, int64(1))
 	follower.Check(follower.call("/safe/", "r").status, qt.Equals, http.StatusServiceUnavailable)
 	follower.Check(follower.router.metrics.peerReads.Value(), qt.Equals, int64(0))
 	// Changes older than the router's revision have no effect.
@@ -430,7 +430,7 @@
 
 // A router that starts while the store does not answer takes a configuration from a seed and
 // serves what needs no key; keys are refused until the configuration is confirmed as current.
-func TestARouterBeginsByASeed(t *testing.T) {
+func TestARouterStartsFromASeed(t *testing.T) {
 	b := newBackend(t, "i-1", ok)
 	seed := startPeer(t, "seed", testConfig(3), b)
 	begun := startWith(t, nil, func(set *settings.Direct, source *testSource) {
@@ -453,8 +453,8 @@
 	f.Fatalf("version %d is not in force", version)
 }
 
-// meet registers the other router at this one.
-func (f *fixture) meet(other *fixture) {
+// registerPeer registers the other router at this one.
+func (f *fixture) registerPeer(other *fixture) {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
 	f.router.peers[other.set.ID] = mirror.Registration{Address: other.set.Listen.Peers}
@@ -547,7 +547,7 @@
 	refused := &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 	ctx := context.Background()
 	f.Check(f.router.unreached(ctx, timeout), qt.Equals, health.Unreachable)
-	f.router.load.late.Store(int64(2 * leftLate))
+	f.router.load.meanLateness.Store(int64(2 * disconnectCheckLateness))
 	f.Check(f.router.unreached(ctx, timeout), qt.Equals, health.NoResult)
 	f.Check(f.router.unreached(ctx, refused), qt.Equals, health.Unreachable)
 }
--- a/transport/direct/dispatch.go
+++ b/transport/direct/dispatch.go
@@ -38,20 +38,20 @@
 
 // dispatch sends the request to servers until the caller has its final answer.
 func (c *call) dispatch(ctx context.Context) {
-	c.r.countRequest(c.service)
-	c.ask()
+	c.r.creditRetryBudget(c.service)
+	c.countDemand()
 	if c.r.isBlind() {
-		c.refuse(*notRun(outcome.ReasonPlatform, staleReturn, "this router has too much work to know which backend servers are draining"))
+		c.refuse(*notRun(outcome.ReasonPlatform, staleRetryAfter, "this router has too much work to know which backend servers are draining"))
 		return
 	}
 	if c.route.Kind == routing.Streaming {
-		if !c.r.load.take(c.team) {
-			c.refuse(*notRun(outcome.ReasonConnections, busyReturn, "this router relays as many streams as it can"))
+		if !c.r.load.acquireStream(c.team) {
+			c.refuse(*notRun(outcome.ReasonConnections, busyRetryAfter, "this router relays as many streams as it can"))
 			return
 		}
 		c.r.teams.Count(func(t *teamuse.Table) { t.Stream(c.team, 1) })
 		defer func() {
-			c.r.load.release(c.team)
+			c.r.load.releaseStream(c.team)
 			c.r.teams.Count(func(t *teamuse.Table) { t.Stream(c.team, -1) })
 		}()
 	}
@@ -63,21 +63,21 @@
 		if c.endQuarantined() {
 			return
 		}
-		decision := c.place()
+		decision := c.placeRequest()
 		c.last = decision
 		callerconn.Decided(c.conn())
 		if decision.Verdict != admission.Send {
-			c.unplaced(decision)
+			c.refuseUnplaced(decision)
 			return
 		}
 		next, err := c.attempt(ctx, decision.Run, &events)
 		switch {
 		case next == done:
 			return
-		case c.mayGoOn(ctx, next, &events):
-			c.logAgain(decision, next, err)
+		case c.mayTryNext(ctx, next, &events):
+			c.logNextServer(decision, next, err)
 		default:
-			c.giveUp(ctx, next, err)
+			c.finishFailed(ctx, next, err)
 			return
 		}
 	}
@@ -89,7 +89,7 @@
 	defer func() { c.r.runEnded(run, result) }()
 	left := c.left()
 	if left <= 0 {
-		return refused, errOver
+		return refused, errDeadlinePassed
 	}
 	c.sent++
 	if c.team != "" && !c.r.isFresh() {
@@ -104,7 +104,7 @@
 	}
 	c.arrived, c.server = false, server
 	c.avoid = append(c.avoid, server.ID)
-	if !c.awaitKnowledge(ctx, server) {
+	if !c.awaitFreshInfo(ctx, server) {
 		return refused, errStale
 	}
 	c.arrived = true
@@ -113,40 +113,40 @@
 	out := c.r.dialect.Outgoing(c.req.Header, Call{
 		Server: server.ID, Team: c.team, TimeLeft: left, ResumeAfter: events.LastEvent(), FetchFrom: c.r.addressOf(c.last.Source),
 	})
-	sent := c.r.sendBegins(c.content, server)
-	one := &sending{server: server, attempt: c.sent}
+	sent := c.r.beginSend(c.fingerprint, server)
+	one := &sentAttempt{server: server, attempt: c.sent}
 	answer, failure := c.r.pool.Do(ctx, backend.Target{ID: server.Identity(), Address: server.Address}, backend.Request{
 		Method: c.req.Method, URI: c.req.RequestURI, Host: c.req.Host, Header: out, Body: c.body, HasBody: c.hasBody(),
-		Head:      func(status int, h http.Header) bool { return c.headOf(server, status, h) },
-		Begin:     func() error { return c.begins(run, one) },
+		Head:      func(status int, h http.Header) bool { return c.checkHead(server, status, h) },
+		Begin:     func() error { return c.beforeFirstByte(run, one) },
 		Abandoned: func(a backend.Abandoned) { c.abandoned(ctx, one, a) },
 	})
 	if failure != nil {
 		if failure.Stage == backend.NotSent {
 			c.arrived = false
-			c.r.sendEnded(sent, quarantine.NotRun)
+			c.r.endSend(sent, quarantine.NotRun)
 			if errors.Is(failure.Err, errCallerLeft) {
 				c.callerLeft()
 				return done, nil
 			}
 			if isRefused(failure.Err) {
-				c.r.crashed(server)
+				c.r.serverCrashed(server)
 			}
 			result = c.r.unreached(ctx, failure.Err)
 			return refused, failure.Err
 		}
 		result = resultAfter(ctx, failure.Err)
 		c.reached++
-		c.ended(sent, server, endingOf(ctx, failed, result, failure.Err))
+		c.attemptEnded(sent, server, runEnding(ctx, failed, result, failure.Err))
 		return failed, failure.Err
 	}
 	defer answer.Close()
-	c.answerBegins(answer.Status)
+	c.answerStarted(answer.Status)
 	reply := c.r.dialect.Reply(answer.Status, answer.Header)
-	c.r.replied(run, reply, c.meta.ID)
-	c.announced(server, reply)
+	c.r.handleReply(run, reply, c.meta.ID)
+	c.applyAnnouncement(server, reply)
 	if reply.NotRun || reply.OtherServer {
-		c.r.sendEnded(sent, quarantine.NotRun)
+		c.r.endSend(sent, quarantine.NotRun)
 		if reply.OtherServer {
 			result = health.Failure
 		}
@@ -156,22 +156,22 @@
 	var next step
 	var err error
 	before := events.Count()
-	next, result, err = c.pass(ctx, answer, reply, events)
-	c.ended(sent, server, endingOf(ctx, next, result, err))
+	next, result, err = c.relay(ctx, answer, reply, events)
+	c.attemptEnded(sent, server, runEnding(ctx, next, result, err))
 	if next == done && result == health.Success && before == 0 {
-		c.r.generated(run, events.Count()*c.eventTokens())
+		c.r.recordGenerated(run, events.Count()*c.eventTokens())
 	}
 	return next, err
 }
 
-// answerBegins records the time of an answer's first byte, and counts the request as started
+// answerStarted records the time of an answer's first byte, and counts the request as started
 // at its first success: an engine starts a run with its first token.
-func (c *call) answerBegins(status int) {
+func (c *call) answerStarted(status int) {
 	c.firstByte = time.Now()
-	if c.tokens == 0 || c.counted || status >= http.StatusMultipleChoices {
+	if c.tokens == 0 || c.countedStarted || status >= http.StatusMultipleChoices {
 		return
 	}
-	c.counted = true
+	c.countedStarted = true
 	isLate := c.route.Objective > 0 && c.firstByte.Sub(c.received) > c.route.Objective
 	c.r.teams.Count(func(t *teamuse.Table) { t.Begun(c.team, c.tokens, isLate) })
 }
@@ -187,17 +187,17 @@
 func (r *Router) unreached(ctx context.Context, err error) health.Result {
 	var network net.Error
 	isTimeout := errors.As(err, &network) && network.Timeout()
-	if ctx.Err() != nil || errors.Is(err, backend.ErrWithdrawn) || isTimeout && time.Duration(r.load.late.Load()) > leftLate {
+	if ctx.Err() != nil || errors.Is(err, backend.ErrWithdrawn) || isTimeout && time.Duration(r.load.meanLateness.Load()) > disconnectCheckLateness {
 		return health.NoResult
 	}
 	return health.Unreachable
 }
 
-// mayGoOn decides whether another server is tried. Each further send of a request that arrived
+// mayTryNext decides whether another server is tried. Each further send of a request that arrived
 // at a server draws on the fleet's retry budget; one whose connection could not be opened did
 // not arrive.
-func (c *call) mayGoOn(ctx context.Context, after step, events *eventstream.Follower) bool {
-	if ctx.Err() != nil || c.sent >= sends || c.left() <= 0 {
+func (c *call) mayTryNext(ctx context.Context, after step, events *eventstream.Follower) bool {
+	if ctx.Err() != nil || c.sent >= maxSends || c.left() <= 0 {
 		return false
 	}
 	if c.team != "" && !c.r.isFresh() {
@@ -211,23 +211,23 @@
 	if after != refused && (!c.route.MayRepeat() || c.reached >= c.route.Attempts) {
 		return false
 	}
-	if c.arrived && !c.mayCarryOn() {
+	if c.arrived && !c.mayRetryAfterCrash() {
 		return false
 	}
-	return !c.arrived || c.r.takeRepeat(c.service)
+	return !c.arrived || c.r.takeRetry(c.service)
 }
 
-// giveUp sends the final answer after the last attempt.
-func (c *call) giveUp(ctx context.Context, after step, err error) {
+// finishFailed sends the final answer after the last attempt.
+func (c *call) finishFailed(ctx context.Context, after step, err error) {
 	switch {
 	case c.req.Context().Err() != nil && time.Now().Before(c.deadline):
 		c.callerLeft()
-	case c.begun:
-		c.cut(errText(err))
+	case c.answerBegun:
+		c.abortAnswer(errText(err))
 	case c.reached == 0 && after == refused && c.left() <= 0:
 		c.refuse(*tooLate())
 	case c.reached == 0 && after == refused:
-		c.refuse(*notRun(outcome.ReasonNoBackend, c.returnAfter(), "no backend server accepted the request"))
+		c.refuse(*notRun(outcome.ReasonNoBackend, c.retryAfter(), "no backend server accepted the request"))
 	case ctx.Err() != nil && c.r.ending.Err() != nil:
 		c.fail(outcome.ReasonLeaving, http.StatusBadGateway, "this router stopped before the answer was whole")
 	case ctx.Err() != nil:
@@ -237,8 +237,8 @@
 	}
 }
 
-// returnAfter is the Retry-After once servers have refused.
-func (c *call) returnAfter() time.Duration {
+// retryAfter is the Retry-After once servers have refused.
+func (c *call) retryAfter() time.Duration {
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
 	return max(c.last.Wait, c.r.cfg.Admission.RetryAfterMin, c.r.admission.BackoffWait(time.Now(), c.service))
@@ -249,9 +249,9 @@
 	c.refuse(outcome.Outcome{Kind: outcome.Unknown, Reason: reason, Status: status, Detail: detail})
 }
 
-// cut closes the caller's connection, so that an incomplete answer does not look complete.
-func (c *call) cut(why string) {
-	c.told = toldCut
+// abortAnswer closes the caller's connection, so that an incomplete answer does not look complete.
+func (c *call) abortAnswer(why string) {
+	c.delivered = deliveredCut
 	c.logEnd("cut: "+why, 0, 0)
 	c.r.metrics.outcomes.Add("cut", 1)
 	c.closeConnection()
@@ -264,7 +264,7 @@
 // net/http would answer with an empty success.
 func (c *call) callerLeft() {
 	c.logEnd(reasonCallerLeft, 0, 0)
-	if c.tokens > 0 && !c.counted {
+	if c.tokens > 0 && !c.countedStarted {
 		c.r.teams.Count(func(t *teamuse.Table) { t.Refused(c.team, reasonCallerLeft) })
 	}
 	c.r.metrics.outcomes.Add("caller_left", 1)
--- a/transport/direct/ending.go
+++ b/transport/direct/ending.go
@@ -29,23 +29,24 @@
 // noAnswer is logged for a request that got no answer from any server.
 const noAnswer = "none"
 
-// framed returns how the answer was framed and how it ended.
-func (e *answerEnd) framed() string {
+// framingText returns how the answer was framed and how it ended.
+func (e *answerEnd) framingText() string {
 	if e == nil {
 		return noAnswer
 	}
 	return e.Framing.String() + "/" + e.End.String()
 }
 
-// isBelieved reports whether the answer counts as whole although nothing marked its end.
-func (e *answerEnd) isBelieved() bool {
+// isAssumedWhole reports whether the answer counts as whole although nothing marked its end.
+func (e *answerEnd) isAssumedWhole() bool {
 	return e != nil && e.verdict == completeness.Whole && e.End != completeness.Marked
 }
 
-// toldWhole and toldCut are the forms in which a caller can receive an answer that started.
+// deliveredWhole and deliveredCut are the forms in which a caller can receive an answer that
+// started.
 const (
-	toldWhole = "whole"
-	toldCut   = "cut"
+	deliveredWhole = "whole"
+	deliveredCut   = "cut"
 )
 
 // endOf returns how the answer ended as far as it was read; events is nil for a plain one.
@@ -73,25 +74,25 @@
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// concluded decides what the answer's end means, once no more of it is read. It counts the
+// judgeEnd decides what the answer's end means, once no more of it is read. It counts the
 // answer, and logs one that its server broke off.
-func (c *call) concluded(ctx context.Context, answer *backend.Answer, events *eventstream.Follower) completeness.Verdict {
+func (c *call) judgeEnd(ctx context.Context, answer *backend.Answer, events *eventstream.Follower) completeness.Verdict {
 	e := c.endOf(answer, events)
 	if e.verdict == completeness.Unmarked {
-		e.sign = c.r.signOf(ctx, c.server)
+		e.sign = c.r.probeSign(ctx, c.server)
 		e.verdict = e.verdict.Settle(e.sign)
 	}
 	c.answer = &e
-	c.r.metrics.answers.Add(e.framed()+"/"+e.verdict.String(), 1)
+	c.r.metrics.answers.Add(e.framingText()+"/"+e.verdict.String(), 1)
 	if e.verdict == completeness.Broken && e.End != completeness.GivenUp {
 		c.logBroken()
 	}
 	return e.verdict
 }
 
-// signOf probes whether the server accepts connections right after the end of an answer. The
+// probeSign probes whether the server accepts connections right after the end of an answer. The
 // connection that it opens is used for the next request.
-func (r *Router) signOf(ctx context.Context, server roster.Server) completeness.Sign {
+func (r *Router) probeSign(ctx context.Context, server roster.Server) completeness.Sign {
 	if known, is := r.server(server.ID); !is || known.Incarnation != server.Incarnation {
 		return completeness.Silent
 	}
@@ -101,7 +102,7 @@
 // logBroken logs an answer that its server broke off.
 func (c *call) logBroken() {
 	now := time.Now()
-	allowed, dropped := c.r.attempts.Allow("answer_broken", now)
+	allowed, dropped := c.r.attemptLines.Allow("answer_broken", now)
 	if !allowed {
 		return
 	}
@@ -120,14 +121,14 @@
 		e = &answerEnd{}
 	}
 	return []any{
-		"answer", c.answer.framed(), "answer_bytes", e.bytes, "events", e.Events, "last_event", e.lastEvent, "inside_event", e.IsInside,
-		"server_then", e.sign.String(), "told", c.told, "told_by", c.toldBy,
+		"answer", c.answer.framingText(), "answer_bytes", e.bytes, "events", e.Events, "last_event", e.lastEvent, "inside_event", e.IsInside,
+		"server_then", e.sign.String(), "told", c.delivered, "told_by", c.callerFraming,
 	}
 }
 
-// framingTold returns the framing in which the caller gets a body of the given length; -1
+// framingFor returns the framing in which the caller gets a body of the given length; -1
 // means unknown.
-func (c *call) framingTold(length int64) string {
+func (c *call) framingFor(length int64) string {
 	switch {
 	case length >= 0:
 		return completeness.Length.String()
--- a/transport/direct/ending_test.go
+++ b/transport/direct/ending_test.go
@@ -43,14 +43,14 @@
 			f.Check(lines.of(event, "r")[0][key], qt.Equals, value, qt.Commentf("%s of %s", key, event))
 		}
 	}
-	f.Check(lines.of("request_ended", "r")[0]["told"], qt.Equals, toldCut)
+	f.Check(lines.of("request_ended", "r")[0]["told"], qt.Equals, deliveredCut)
 	f.Check(lines.of("request_ended", "r")[0]["told_by"], qt.Equals, "chunks")
 	f.Check(f.router.metrics.answers.Get("chunks/closed/broken").String(), qt.Equals, "1")
 }
 
 // An answer that counts as whole although nothing marked its end is always logged, so that it
 // can be explained later why its caller received it as whole.
-func TestEachAnswerThatIsBelievedHasALine(t *testing.T) {
+func TestEachAnswerAssumedWholeIsLogged(t *testing.T) {
 	var lines lineBuffer
 	believed := plan(answerPlan{framing: byConnection, body: eventsText(1, 2)})
 	f := startLogged(t, testConfig(1), log.NewLogfmtLogger(&lines), func(*settings.Direct, *testSource) {}, newBackend(t, "i-1", believed))
--- a/transport/direct/evacuation_test.go
+++ b/transport/direct/evacuation_test.go
@@ -21,7 +21,7 @@
 
 // The operators evacuate a data centre and end the evacuation: its servers receive no requests
 // meanwhile, runs there continue, and other servers serve its callers.
-func TestAnEvacuatedDataCentreGetsNothingUntilItIsTakenBack(t *testing.T) {
+func TestAnEvacuatedDataCentreReceivesNothing(t *testing.T) {
 	begun, end := make(chan bool, 1), make(chan bool)
 	east := newBackend(t, "i-east", func(w io.Writer, req *http.Request) bool {
 		if req.Header.Get(testID) == "long" {
@@ -39,7 +39,7 @@
 	go func() { long <- f.call("/safe/", "long") }()
 	<-begun
 	f.source.changes <- mirror.Delta{Evacuated: []string{"east"}, Servers: []roster.Server{inDataCentre(west, "west")}, Revision: 2}
-	f.waitFor("the evacuation is not known", func() bool { return f.router.known() == 2 })
+	f.waitFor("the evacuation is not known", func() bool { return f.router.knownRevision() == 2 })
 	for range 5 {
 		f.Check(f.call("/safe/", "r").status, qt.Equals, http.StatusOK)
 	}
@@ -48,7 +48,7 @@
 	f.Check((<-long).status, qt.Equals, http.StatusOK)
 	// The last data centre, too: what cannot be served is refused at once.
 	f.source.changes <- mirror.Delta{Evacuated: []string{"west"}, Revision: 3}
-	f.waitFor("the evacuation is not known", func() bool { return f.router.known() == 3 })
+	f.waitFor("the evacuation is not known", func() bool { return f.router.knownRevision() == 3 })
 	sent := time.Now()
 	f.Check(f.call("/safe/", "r").status, qt.Equals, http.StatusServiceUnavailable)
 	f.Check(time.Since(sent) < time.Second, qt.IsTrue)
@@ -61,15 +61,15 @@
 }
 
 // A router that starts from another router's state knows what is evacuated.
-func TestAnEvacuationIsToldToRoutersThatBegin(t *testing.T) {
+func TestStartingRoutersLearnOfEvacuations(t *testing.T) {
 	f := start(t, testConfig(1))
 	f.source.changes <- mirror.Delta{Evacuated: []string{"east", "west"}, Revision: 2}
 	f.source.changes <- mirror.Delta{Returned: []string{"west"}, Revision: 3}
-	f.waitFor("the changes did not arrive", func() bool { return f.router.known() == 3 })
-	whole, err := f.router.mirrored(changesRequest{Revision: 3})
+	f.waitFor("the changes did not arrive", func() bool { return f.router.knownRevision() == 3 })
+	whole, err := f.router.changesFor(changesRequest{Revision: 3})
 	f.Assert(err, qt.IsNil)
 	f.Check(whole.Whole.Evacuated, qt.DeepEquals, []string{"east"})
-	changed, err := f.router.mirrored(changesRequest{Revision: 3, Have: 1})
+	changed, err := f.router.changesFor(changesRequest{Revision: 3, Have: 1})
 	f.Assert(err, qt.IsNil)
 	f.Check(changed.Changes.Evacuated, qt.DeepEquals, []string{"east"})
 	f.Check(changed.Changes.Returned, qt.DeepEquals, []string{"west"})
--- a/transport/direct/follow.go
+++ b/transport/direct/follow.go
@@ -16,7 +16,7 @@
 func (r *Router) follow(ctx context.Context) {
 	f := &follower{r: r, duty: watchduty.DefaultConfig()}
 	for ctx.Err() == nil {
-		if !f.asks() {
+		if !f.queriesStore() {
 			f.await(ctx)
 			continue
 		}
@@ -42,27 +42,27 @@
 
 // follower is the state of the task that reads the store.
 type follower struct {
-	r      *Router
-	duty   watchduty.Config
-	loaded time.Time
-	lost   bool
+	r               *Router
+	duty            watchduty.Config
+	loaded          time.Time
+	storeLostLogged bool
 	// nextTry is when a router that cannot reach the store tries it again.
 	nextTry time.Time
 	// catchUp tells that other routers have changes that this one lacks.
 	catchUp bool
-	// wanted tells that a request waits for more recent information.
-	wanted bool
+	// infoWanted tells that a request waits for more recent information.
+	infoWanted bool
 }
 
-// asks reports whether this router queries the store now, or relies on other routers.
-func (f *follower) asks() bool {
-	if f.r.known() == 0 || f.catchUp || f.wanted || f.retries() {
+// queriesStore reports whether this router queries the store now, or relies on other routers.
+func (f *follower) queriesStore() bool {
+	if f.r.knownRevision() == 0 || f.catchUp || f.infoWanted || f.isRetryDue() {
 		return true
 	}
 	now := bootTime()
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
-	k := watchduty.Knowledge{Silent: now - f.r.toldAt}
+	k := watchduty.Knowledge{Silent: now - f.r.confirmedAt}
 	k.Age, k.Known = f.r.fresh.Age(now)
 	return f.duty.Asks(f.r.set.ID, f.r.routers(), k)
 }
@@ -76,20 +76,20 @@
 	return ids
 }
 
-// retries reports whether a store that did not answer is due another try: other routers may
+// isRetryDue reports whether a store that did not answer is due another try: other routers may
 // still send updates, but not forever.
-func (f *follower) retries() bool {
-	return f.r.cutSince.Load() != 0 && !time.Now().Before(f.nextTry)
+func (f *follower) isRetryDue() bool {
+	return f.r.storeSilentSince.Load() != 0 && !time.Now().Before(f.nextTry)
 }
 
-// await waits for other routers to report changes, for awaitStep at most.
+// await waits for other routers to report changes, for awaitInterval at most.
 func (f *follower) await(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(awaitStep):
-	case <-f.r.wanted:
-		f.wanted = true
-	case <-f.r.behind:
+	case <-time.After(awaitInterval):
+	case <-f.r.infoWanted:
+		f.infoWanted = true
+	case <-f.r.catchUpNeeded:
 		// Changes that are written in quick succession are read together.
 		time.Sleep(catchUpDelay)
 		f.catchUp = true
@@ -98,29 +98,29 @@
 
 // step reads everything, or waits once for changes.
 func (f *follower) step(ctx context.Context) error {
-	if f.catchUp && f.r.known() > 0 {
+	if f.catchUp && f.r.knownRevision() > 0 {
 		f.catchUp = false
-		if err := f.askPeer(ctx); err == nil {
+		if err := f.fetchFromPeer(ctx); err == nil {
 			f.r.metrics.peerReads.Add(1)
 			return nil
 		}
-		if !f.stale() {
+		if !f.needsFullRead() {
 			return f.changes(ctx, catchUpWait)
 		}
 	}
-	if f.stale() {
+	if f.needsFullRead() {
 		return f.load(ctx)
 	}
-	if f.wanted {
-		f.wanted = false
-		return f.changes(ctx, wantedWait)
+	if f.infoWanted {
+		f.infoWanted = false
+		return f.changes(ctx, urgentWait)
 	}
-	return f.changes(ctx, f.patience())
+	return f.changes(ctx, f.changesWait())
 }
 
-// patience is how long this router waits for changes: a router chosen to watch for all waits
+// changesWait is how long this router waits for changes: a router chosen to watch for all waits
 // long, any other one only fetches what is already available.
-func (f *follower) patience() time.Duration {
+func (f *follower) changesWait() time.Duration {
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
 	if f.r.table.Load() == nil || slices.Contains(f.duty.Chosen(f.r.routers()), f.r.set.ID) {
@@ -129,20 +129,22 @@
 	return catchUpWait
 }
 
-// stale reports whether everything must be read.
-func (f *follower) stale() bool { return f.r.known() == 0 || time.Since(f.loaded) > resyncEvery }
+// needsFullRead reports whether everything must be read.
+func (f *follower) needsFullRead() bool {
+	return f.r.knownRevision() == 0 || time.Since(f.loaded) > resyncInterval
+}
 
 func (f *follower) load(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	heard, sent := f.r.hearing(), bootTime()
+	lastSeqs, sent := f.r.lastHeard(), bootTime()
 	s, err := f.r.source.Load(ctx)
 	if err != nil {
 		return err
 	}
-	f.worked(sent)
+	f.storeAnswered(sent)
 	f.r.replace(s)
-	f.r.confirm(s.Config, sent, vouching{heard, s.Revision})
+	f.r.confirm(s.Config, sent, confirmation{lastSeqs, s.Revision})
 	f.loaded = time.Now()
 	return nil
 }
@@ -150,8 +152,8 @@
 func (f *follower) changes(ctx context.Context, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
-	heard, sent := f.r.hearing(), bootTime()
-	after := f.r.known()
+	lastSeqs, sent := f.r.lastHeard(), bootTime()
+	after := f.r.knownRevision()
 	d, err := f.r.source.Changes(ctx, after, wait)
 	if err != nil {
 		// An interrupted wait may have missed changes. Updates from other routers continue
@@ -159,10 +161,10 @@
 		f.loaded = time.Time{}
 		return err
 	}
-	f.worked(sent)
+	f.storeAnswered(sent)
 	f.r.update(d)
-	f.r.pass(after, d)
-	f.r.confirm(d.Config, sent, vouching{heard, d.Revision})
+	f.r.attachChanges(after, d)
+	f.r.confirm(d.Config, sent, confirmation{lastSeqs, d.Revision})
 	return nil
 }
 
@@ -175,15 +177,15 @@
 	if ctx.Err() != nil {
 		return
 	}
-	if f.r.known() == 0 {
-		f.askSeeds(ctx)
+	if f.r.knownRevision() == 0 {
+		f.fetchFromSeeds(ctx)
 	}
-	f.nextTry = time.Now().Add(retryEvery)
-	f.r.cutSince.CompareAndSwap(0, int64(bootTime()))
+	f.nextTry = time.Now().Add(partitionedRetryInterval)
+	f.r.storeSilentSince.CompareAndSwap(0, int64(bootTime()))
 	f.storeLost(err)
 	select {
-	case <-time.After(storePause):
-	case <-f.r.behind:
+	case <-time.After(storeRetryPause):
+	case <-f.r.catchUpNeeded:
 		f.catchUp = true
 	case <-ctx.Done():
 	}
@@ -192,33 +194,33 @@
 // storeLost records that the store does not answer this router. Entries may lapse from now on,
 // unless others report that the store answers them.
 func (f *follower) storeLost(err error) {
-	if f.ownFault(err) {
+	if f.isOwnTimeout(err) {
 		return
 	}
 	now := bootTime()
 	f.r.mu.Lock()
-	if !f.lost || now-f.r.toldAt > othersSilent {
-		f.r.lostAt = now
+	if !f.storeLostLogged || now-f.r.confirmedAt > peerSilenceLimit {
+		f.r.storeLostAt = now
 		f.r.roster.StoreLost()
 	}
 	f.r.mu.Unlock()
-	if !f.lost {
-		f.lost = true
+	if !f.storeLostLogged {
+		f.storeLostLogged = true
 		f.r.event("store_lost", "err", err)
 	}
 }
 
-// ownFault reports whether a timeout is most likely this router's own: a saturated router
+// isOwnTimeout reports whether a timeout is most likely this router's own: a saturated router
 // reads answers seconds late. Treating that as an outage of the store would keep servers whose
 // entries are gone because they shut down.
-func (f *follower) ownFault(err error) bool {
+func (f *follower) isOwnTimeout(err error) bool {
 	return f.r.load.saturated.Load() && errors.Is(err, context.DeadlineExceeded)
 }
 
-// worked records that the store answered a call of this router that was sent at the given
+// storeAnswered records that the store answered a call of this router that was sent at the given
 // reading of bootTime.
-func (f *follower) worked(sent time.Duration) {
-	f.r.cutSince.Store(0)
+func (f *follower) storeAnswered(sent time.Duration) {
+	f.r.storeSilentSince.Store(0)
 	f.storeBack(false, sent)
 }
 
@@ -226,11 +228,11 @@
 // router, which may report that the store was available throughout. The store answered at the
 // given reading of bootTime.
 func (f *follower) storeBack(sound bool, at time.Duration) {
-	if !f.lost {
+	if !f.storeLostLogged {
 		return
 	}
-	f.lost = false
-	f.r.event("store_back", "own", f.r.cutSince.Load() == 0)
+	f.storeLostLogged = false
+	f.r.event("store_back", "own", f.r.storeSilentSince.Load() == 0)
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
 	if sound {
--- a/transport/direct/framing_harness_test.go
+++ b/transport/direct/framing_harness_test.go
@@ -57,11 +57,11 @@
 	default:
 		_, _ = io.WriteString(w, head+"\r\n"+p.body)
 	}
-	return p.over(w)
+	return p.finish(w)
 }
 
-// over ends the connection, or keeps it.
-func (p answerPlan) over(w io.Writer) bool {
+// finish ends the connection, or keeps it.
+func (p answerPlan) finish(w io.Writer) bool {
 	switch {
 	case p.end == resets:
 		_ = w.(*net.TCPConn).SetLinger(0)
@@ -87,14 +87,16 @@
 	return func(w io.Writer, _ *http.Request) bool { return p.send(w) }
 }
 
-// goesOn streams the rest of six events in chunks.
-func goesOn(w io.Writer, req *http.Request) bool { return events(w, req, streamEvents, 0, false) }
+// continueStream streams the rest of six events in chunks.
+func continueStream(w io.Writer, req *http.Request) bool {
+	return events(w, req, streamEvents, 0, false)
+}
 
 // streamEvents is the number of events of a whole stream in these tests.
 const streamEvents = 6
 
-// seen is an answer as a caller on its own connection received it.
-type seen struct {
+// callerView is an answer as a caller on its own connection received it.
+type callerView struct {
 	status int
 	header http.Header
 	body   string
@@ -103,7 +105,7 @@
 }
 
 // looksWhole reports whether the caller has a success that looks whole.
-func (s seen) looksWhole() bool { return s.broken == nil && s.status == http.StatusOK }
+func (s callerView) looksWhole() bool { return s.broken == nil && s.status == http.StatusOK }
 
 // Protocols of the callers.
 const (
@@ -126,7 +128,7 @@
 }
 
 // ask sends a request and reads its answer as far as it comes.
-func (o *rawCaller) ask(method, proto, path, id string, headers ...string) seen {
+func (o *rawCaller) ask(method, proto, path, id string, headers ...string) callerView {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s\r\nHost: h\r\n%s: %s\r\n%s: 2500\r\nContent-Length: 4\r\n", method, path, proto, testID, id, testLeft)
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -136,14 +138,14 @@
 	o.c.Assert(err, qt.IsNil)
 	resp, err := http.ReadResponse(o.r, &http.Request{Method: method})
 	if err != nil {
-		return seen{broken: err}
+		return callerView{broken: err}
 	}
 	body, err := io.ReadAll(resp.Body)
-	return seen{status: resp.StatusCode, header: resp.Header, body: string(body), broken: err}
+	return callerView{status: resp.StatusCode, header: resp.Header, body: string(body), broken: err}
 }
 
 // once sends a request on a new connection.
-func (f *fixture) once(proto, path, id string, headers ...string) seen {
+func (f *fixture) once(proto, path, id string, headers ...string) callerView {
 	return f.connect().ask(http.MethodPost, proto, path, id, headers...)
 }
 
--- a/transport/direct/framing_test.go
+++ b/transport/direct/framing_test.go
@@ -17,8 +17,8 @@
 	"goldcrestport/protocol/settings"
 )
 
-// insideAnEvent are bodies of streams that end inside an event.
-var insideAnEvent = map[string]string{
+// midEventBodies are bodies of streams that end inside an event.
+var midEventBodies = map[string]string{
 	"half a line":                 eventsText(1, 3) + "id: 4\nda",
 	"no empty line":               eventsText(1, 3) + "id: 4\ndata: e4\n",
 	"nothing but half an event":   "id: 1\nda",
@@ -28,7 +28,7 @@
 // checkCut lets servers break off a stream that may not be resumed: its caller must see that,
 // and get no partial event and no second run.
 func checkCut(t *testing.T, framing string) {
-	for name, body := range insideAnEvent {
+	for name, body := range midEventBodies {
 		for _, proto := range []string{http11, http10} {
 			var n atomic.Int32
 			run := inTurn(&n, plan(answerPlan{framing: framing, body: body, end: closes}))
@@ -46,9 +46,9 @@
 // checkGoesOn lets the first server break off a stream that may be resumed: the second one
 // continues after the last whole event, in the same answer.
 func checkGoesOn(t *testing.T, framing string) {
-	for name, body := range insideAnEvent {
+	for name, body := range midEventBodies {
 		var n atomic.Int32
-		run := inTurn(&n, plan(answerPlan{framing: framing, body: body, end: closes}), goesOn)
+		run := inTurn(&n, plan(answerPlan{framing: framing, body: body, end: closes}), continueStream)
 		f := start(t, testConfig(1), newBackend(t, "i-1", run), newBackend(t, "i-2", run))
 		got := f.once(http11, "/resume/", "r")
 		comment := qt.Commentf("%s, %s: %d %q", framing, name, got.status, got.body)
@@ -98,7 +98,7 @@
 			p.send(w)
 			// What was sent is read before a reset discards it.
 			time.Sleep(20 * time.Millisecond)
-			return tail.over(w)
+			return tail.finish(w)
 		}
 		f := start(t, testConfig(1), newBackend(t, "i-1", slow))
 		for _, proto := range []string{http11, http10} {
@@ -115,7 +115,7 @@
 func TestAStreamWithoutFramingOrEventsIsNotWhole(t *testing.T) {
 	var n atomic.Int32
 	empty := plan(answerPlan{framing: byConnection})
-	run := inTurn(&n, empty, empty, goesOn)
+	run := inTurn(&n, empty, empty, continueStream)
 	f := start(t, testConfig(1), newBackend(t, "i-1", run), newBackend(t, "i-2", run))
 	got := f.once(http11, "/stream/", "r1")
 	f.Check(got.status, qt.Equals, http.StatusBadGateway, qt.Commentf("%q", got.body))
@@ -126,7 +126,7 @@
 
 // Whole answers stay whole: streams and plain answers in every framing, without a body, and to
 // callers with and without chunked encoding, also on kept connections.
-func TestWhatIsWholeLooksWhole(t *testing.T) {
+func TestWholeAnswersStayWhole(t *testing.T) {
 	const text = "id: 1\ndata: e1\n\n"
 	bare := func(status int, head, body string) func(io.Writer, *http.Request) bool {
 		return func(w io.Writer, _ *http.Request) bool {
@@ -153,12 +153,12 @@
 		"an error without framing":         {http.MethodPost, "/stream/", bare(500, "", "why"), 500, "why"},
 		"a refusal's text without framing": {http.MethodPost, "/once/", bare(404, "", "why"), 404, "why"},
 		"a plain answer without framing":   {http.MethodPost, "/once/", bare(200, "", "plain"), 200, "plain"},
-		"a long one without framing":       {http.MethodPost, "/once/", bare(200, "", strings.Repeat("x", 3*wholeBody)), 200, strings.Repeat("x", 3*wholeBody)},
+		"a long one without framing":       {http.MethodPost, "/once/", bare(200, "", strings.Repeat("x", 3*maxBufferedBody)), 200, strings.Repeat("x", 3*maxBufferedBody)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := start(t, testConfig(1), newBackend(t, "i-1", tc.run))
 			kept := f.connect()
-			for i, got := range []seen{
+			for i, got := range []callerView{
 				kept.ask(tc.method, http11, tc.path, "r1"), kept.ask(tc.method, http11, tc.path, "r2"),
 				f.connect().ask(tc.method, http10, tc.path, "r3"),
 			} {
@@ -173,7 +173,7 @@
 // A plain answer without framing that is reset is not whole, whether shorter or longer than
 // what is buffered, with each protocol.
 func TestAPlainAnswerWithoutFramingThatIsResetIsNotWhole(t *testing.T) {
-	for _, size := range []int{5, 3 * wholeBody} {
+	for _, size := range []int{5, 3 * maxBufferedBody} {
 		run := func(w io.Writer, _ *http.Request) bool {
 			_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: m\r\n\r\n%s", testMark, strings.Repeat("x", size))
 			time.Sleep(30 * time.Millisecond)
@@ -192,7 +192,7 @@
 // the partial stream.
 func TestACutEndsAKeptConnection(t *testing.T) {
 	var n atomic.Int32
-	run := inTurn(&n, ok, plan(answerPlan{framing: byConnection, body: insideAnEvent["half a line"]}), ok)
+	run := inTurn(&n, ok, plan(answerPlan{framing: byConnection, body: midEventBodies["half a line"]}), ok)
 	f := start(t, testConfig(1), newBackend(t, "i-1", run))
 	kept := f.connect()
 	f.Check(kept.ask(http.MethodPost, http11, "/once/", "r1").body, qt.Equals, "hello")
@@ -249,21 +249,21 @@
 	}
 }
 
-// noEvent is a comment, which callers may or may not get.
-const noEvent = ": no event\n\n"
+// commentOnly is a comment, which callers may or may not get.
+const commentOnly = ": no event\n\n"
 
 // checkJoining lets the first server break off after three events and the second one send an
 // answer that does not continue them: a third one does, and the caller gets each event once.
 func checkJoining(t *testing.T, liar answerPlan) {
 	var n atomic.Int32
-	run := inTurn(&n, plan(answerPlan{framing: byChunks, body: eventsText(1, 3), noEnd: true, end: closes}), plan(liar), goesOn)
+	run := inTurn(&n, plan(answerPlan{framing: byChunks, body: eventsText(1, 3), noEnd: true, end: closes}), plan(liar), continueStream)
 	var lines lineBuffer
 	f := startLogged(t, testConfig(1), log.NewLogfmtLogger(&lines), func(*settings.Direct, *testSource) {},
 		newBackend(t, "i-1", run), newBackend(t, "i-2", run), newBackend(t, "i-3", run))
 	got := f.once(http11, "/resume/", "r")
 	f.Check(lines.of("answer_broken", "r"), qt.HasLen, 2)
 	f.Check(got.looksWhole(), qt.IsTrue, qt.Commentf("%q %v", got.body, got.broken))
-	f.Check(strings.ReplaceAll(got.body, noEvent, ""), qt.Equals, eventsText(1, streamEvents))
+	f.Check(strings.ReplaceAll(got.body, commentOnly, ""), qt.Equals, eventsText(1, streamEvents))
 	f.Check(n.Load(), qt.Equals, int32(3))
 }
 
@@ -291,7 +291,7 @@
 	for _, framing := range []string{byChunks, byLength, byConnection} {
 		checkJoining(t, answerPlan{framing: framing})
 	}
-	checkJoining(t, answerPlan{framing: byChunks, body: noEvent})
+	checkJoining(t, answerPlan{framing: byChunks, body: commentOnly})
 }
 
 // Guards against a server that should continue a stream but answers with a JSON value, which
@@ -301,7 +301,7 @@
 	value := func(w io.Writer, req *http.Request) bool {
 		return respond(w, req, http.StatusOK, testMark+": m\r\nContent-Type: application/json\r\n", `{"text":"x"}`)
 	}
-	run := inTurn(&n, plan(answerPlan{framing: byChunks, body: eventsText(1, 3), noEnd: true, end: closes}), value, goesOn)
+	run := inTurn(&n, plan(answerPlan{framing: byChunks, body: eventsText(1, 3), noEnd: true, end: closes}), value, continueStream)
 	f := start(t, testConfig(1), newBackend(t, "i-1", run), newBackend(t, "i-2", run), newBackend(t, "i-3", run))
 	got := f.once(http11, "/resume/", "r")
 	f.Check(got.looksWhole(), qt.IsTrue, qt.Commentf("%q %v", got.body, got.broken))
@@ -324,7 +324,7 @@
 // Guards against a caller that resumes on its own and gets events that it already has.
 func TestACallersOwnResumeBringsNoEventTwice(t *testing.T) {
 	var n atomic.Int32
-	run := inTurn(&n, plan(answerPlan{framing: byChunks, body: eventsText(1, streamEvents)}), goesOn)
+	run := inTurn(&n, plan(answerPlan{framing: byChunks, body: eventsText(1, streamEvents)}), continueStream)
 	f := start(t, testConfig(1), newBackend(t, "i-1", run), newBackend(t, "i-2", run))
 	got := f.once(http11, "/resume/", "r", testLast, "3")
 	f.Check(got.looksWhole(), qt.IsTrue)
@@ -334,8 +334,8 @@
 // Guards against a server that breaks off each stream without framing but counts as healthy
 // and keeps receiving requests.
 func TestAServerThatBreaksStreamsWithoutFramingIsEjected(t *testing.T) {
-	bad := newBackend(t, "i-1", plan(answerPlan{framing: byConnection, body: insideAnEvent["half a line"]}))
-	good := newBackend(t, "i-2", goesOn)
+	bad := newBackend(t, "i-1", plan(answerPlan{framing: byConnection, body: midEventBodies["half a line"]}))
+	good := newBackend(t, "i-2", continueStream)
 	f := start(t, testConfig(1), bad, good)
 	for i := range 40 {
 		f.once(http11, "/stream/", numbered("r", i))
@@ -353,15 +353,15 @@
 // taken for one that runs well and was sent to further servers.
 func TestARequestThatCrashesServersUnderStreamsWithoutFramingIsStopped(t *testing.T) {
 	f := startFleet(t, 2, 8, withoutFraming)
-	stop := time.Now().Add(contactTime + 4*time.Second)
+	stop := time.Now().Add(reportDelay + 4*time.Second)
 	for i := 0; time.Now().Before(stop); i++ {
 		one := f.routers[i%len(f.routers)]
 		one.send("/stream/", numbered("c", i), crashBody, testLeft, "2000")
 		time.Sleep(60 * time.Millisecond)
 	}
-	known := f.known()
+	known := f.confirmedAt()
 	f.routers[0].Assert(known.IsZero(), qt.IsFalse)
-	late := f.late(known)
+	late := f.arrivalsAfter(known)
 	f.routers[0].Check(late <= furtherSends, qt.IsTrue, qt.Commentf("sent %d times after it was known", late))
 }
 
@@ -409,7 +409,7 @@
 		got := f.once(proto, "/stream/", "r")
 		f.Check(got.looksWhole(), qt.IsFalse, qt.Commentf("%s: %q", proto, got.body))
 	}
-	f := start(t, testConfig(1), crashing(t, answer), newBackend(t, "i-2", goesOn))
+	f := start(t, testConfig(1), crashing(t, answer), newBackend(t, "i-2", continueStream))
 	for i := range 4 {
 		got := f.once(http11, "/resume/", numbered("r", i))
 		f.Check(got.looksWhole(), qt.IsTrue)
@@ -477,7 +477,7 @@
 		}
 		return answerPlan{framing: byChunks, body: rest[req.Header.Get(testLast)]}.send(w)
 	}))
-	ask := func(path string) seen {
+	ask := func(path string) callerView {
 		mu.Lock()
 		next, runs = p, 0
 		mu.Unlock()
--- a/transport/direct/hear.go
+++ b/transport/direct/hear.go
@@ -11,31 +11,31 @@
 	"goldcrestport/protocol/digest"
 )
 
-// listen receives the other routers' datagrams.
-func (r *Router) listen(conn *net.UDPConn) {
+// receiveDatagrams receives the other routers' datagrams.
+func (r *Router) receiveDatagrams(conn *net.UDPConn) {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, _, err := conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
-		if err := r.takeDatagram(conn, buf[:n]); err != nil {
+		if err := r.receiveDatagram(conn, buf[:n]); err != nil {
 			r.metrics.peerErrors.Add(1)
 		}
 	}
 }
 
-// takeDatagram processes a datagram from another router.
-func (r *Router) takeDatagram(conn *net.UDPConn, datagram []byte) error {
+// receiveDatagram processes a datagram from another router.
+func (r *Router) receiveDatagram(conn *net.UDPConn, datagram []byte) error {
 	if crashreport.Is(datagram) {
-		return r.takeReport(datagram)
+		return r.receiveReport(datagram)
 	}
 	if digest.IsPassOn(datagram) {
 		p, err := digest.ReadPassOn(datagram)
 		if err != nil {
 			return err
 		}
-		r.passOn(conn, p)
+		r.forward(conn, p)
 		p.Address(r.set.ID)
 		datagram = p.Message
 	}
@@ -44,16 +44,16 @@
 		return err
 	}
 	if m.DataCentre == digest.DataCentreOf(r.set.DataCentre) {
-		r.load.heard(time.Now(), m.Router, m.Rotation)
+		r.load.receiveRotation(time.Now(), m.Router, m.Rotation)
 	}
-	r.takePassed(m)
-	r.hear(m)
+	r.applyAttached(m)
+	r.receiveMessage(m)
 	return nil
 }
 
-// passOn forwards a message to the other routers of this data centre.
-func (r *Router) passOn(conn *net.UDPConn, p digest.PassOn) {
-	r.metrics.passedOn.Add(1)
+// forward forwards a message to the other routers of this data centre.
+func (r *Router) forward(conn *net.UDPConn, p digest.PassOn) {
+	r.metrics.forwarded.Add(1)
 	for id, to := range r.neighbours() {
 		p.Address(id)
 		if _, err := conn.WriteToUDPAddrPort(p.Message, to); err != nil {
@@ -78,8 +78,8 @@
 	return out
 }
 
-// hear processes a gossip message of another router.
-func (r *Router) hear(m digest.Message) {
+// receiveMessage processes a gossip message of another router.
+func (r *Router) receiveMessage(m digest.Message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -87,17 +87,17 @@
 		return
 	}
 	r.admission.ReceiveDigest(now, m.Router, m.Digest)
-	r.toldLeaving(m.Router, m.Digest.ShuttingDown)
-	r.heard[m.Router] = m.Seq
+	r.receiveDraining(m.Router, m.Digest.ShuttingDown)
+	r.lastSeqs[m.Router] = m.Seq
 	if m.Heard == 0 {
 		return
 	}
 	if at, known := r.witness.Heard(m.Heard); known {
-		if at > r.toldOf {
-			r.toldAt, r.toldOf = bootTime(), at
+		if at > r.confirmedFor {
+			r.confirmedAt, r.confirmedFor = bootTime(), at
 			r.storeAnswersOthers(at)
 		}
-		r.trust(at, m)
+		r.confirmRevision(at, m)
 	}
 }
 
@@ -106,37 +106,37 @@
 // lapsed in the outage count from then, not from when the message arrived or from this
 // router's own next answer. The caller holds mu.
 func (r *Router) storeAnswersOthers(at time.Duration) {
-	if at > r.lostAt {
+	if at > r.storeLostAt {
 		r.roster.StoreBack(wallTime(at))
 	}
 }
 
-// trust records that the message's revision was current at the given time. The caller holds
-// mu.
-func (r *Router) trust(at time.Duration, m digest.Message) {
+// confirmRevision records that the message's revision was current at the given time. The
+// caller holds mu.
+func (r *Router) confirmRevision(at time.Duration, m digest.Message) {
 	if r.mirror.Revision() >= m.Revision && r.table.Load() != nil {
 		r.fresh.Confirm(at)
 		return
 	}
 	r.pending.at, r.pending.revision, r.pending.router = at, m.Revision, m.Router
 	select {
-	case r.behind <- struct{}{}:
+	case r.catchUpNeeded <- struct{}{}:
 	default:
 	}
 }
 
-// reached confirms the pending revision that other routers reported as current, once this
+// confirmPending confirms the pending revision that other routers reported as current, once this
 // router has it. The caller holds mu.
-func (r *Router) reached() {
+func (r *Router) confirmPending() {
 	if r.pending.revision != 0 && r.mirror.Revision() >= r.pending.revision && r.table.Load() != nil {
 		r.fresh.Confirm(r.pending.at)
 		r.pending.revision = 0
 	}
 }
 
-// hearing returns the sequence number of the last message received from each router.
-func (r *Router) hearing() map[string]uint32 {
+// lastHeard returns the sequence number of the last message received from each router.
+func (r *Router) lastHeard() map[string]uint32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return maps.Clone(r.heard)
+	return maps.Clone(r.lastSeqs)
 }
--- a/transport/direct/held_test.go
+++ b/transport/direct/held_test.go
@@ -38,7 +38,7 @@
 // delayed it, acknowledged, and the server's entry was removed from the store before it
 // answered. A request that may be retried must go to another server instead, within the time
 // in which draining servers may receive any.
-func TestAnAttemptAtAServerThatLeavesGoesOnElsewhere(t *testing.T) {
+func TestAnAttemptAtAServerThatShutsDownIsRetriedElsewhere(t *testing.T) {
 	leaving, other := newBackend(t, "i-1", ok), newBackend(t, "i-2", ok)
 	link, known := behindLink(t, leaving)
 	f := start(t, testConfig(1), known)
@@ -55,14 +55,14 @@
 
 // Guards against the same fault with a resumed stream: the link to the server that was to
 // continue it delayed the request, and that server shut down. A third one continues it.
-func TestAResumedStreamDoesNotReachAServerThatLeft(t *testing.T) {
+func TestAResumedStreamDoesNotReachAServerThatShutDown(t *testing.T) {
 	goOn := make(chan struct{})
 	first := newBackend(t, "i-1", func(w io.Writer, _ *http.Request) bool {
 		answerPlan{framing: byChunks, body: eventsText(1, 3), noEnd: true}.send(w)
 		<-goOn
 		return false
 	})
-	leaving, third := newBackend(t, "i-2", goesOn), newBackend(t, "i-3", goesOn)
+	leaving, third := newBackend(t, "i-2", continueStream), newBackend(t, "i-3", continueStream)
 	link, known := behindLink(t, leaving)
 	f := start(t, testConfig(1), first)
 	got := make(chan reply, 1)
@@ -70,7 +70,7 @@
 	f.waitFor("the stream has begun", func() bool { return len(first.runs()) == 1 })
 	link.Hold()
 	f.source.changes <- mirror.Delta{Servers: servers(known), Removed: []string{"i-1"}, Revision: 2}
-	f.waitFor("the second server is known", func() bool { return f.router.known() == 2 })
+	f.waitFor("the second server is known", func() bool { return f.router.knownRevision() == 2 })
 	close(goOn)
 	time.Sleep(100 * time.Millisecond)
 	f.source.changes <- mirror.Delta{Servers: servers(third), Revision: 3}
@@ -86,7 +86,7 @@
 
 // Guards against the same fault with a request that may run only once: it may not be sent
 // elsewhere, so its caller is told that it may have run.
-func TestARequestThatMayRunOnceDoesNotReachAServerThatLeft(t *testing.T) {
+func TestARequestThatMayRunOnceDoesNotReachAServerThatShutDown(t *testing.T) {
 	leaving := newBackend(t, "i-1", ok)
 	link, known := behindLink(t, leaving)
 	f := start(t, testConfig(1), known)
@@ -101,7 +101,7 @@
 
 // Guards against a request that runs after the router that sent it has stopped: the link to
 // the server delayed it, and the router closed its connection.
-func TestARouterThatStopsLeavesNoRequestOnItsWay(t *testing.T) {
+func TestAStoppingRouterLeavesNoRequestInFlight(t *testing.T) {
 	server := newBackend(t, "i-1", ok)
 	link, known := behindLink(t, server)
 	f := start(t, testConfig(1), known)
@@ -116,12 +116,12 @@
 // Guards against a server that receives requests for a whole grace period after the router
 // learned, late, that the store is back: the time for entries to come back counts from the
 // store's answer.
-func TestAGraceBeginsWithTheStoresAnswer(t *testing.T) {
+func TestAGracePeriodStartsWithTheStoresAnswer(t *testing.T) {
 	r := unserved(newBackend(t, "i-1", ok))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now, late := time.Now(), 1900*time.Millisecond
-	r.lostAt = bootTime() - 4*time.Second
+	r.storeLostAt = bootTime() - 4*time.Second
 	r.roster.StoreLost()
 	r.storeAnswersOthers(bootTime() - late)
 	r.apply(r.roster.Replace(now, nil))
@@ -132,7 +132,7 @@
 // Guards against a request to a server that has shut down while its router, which is not late,
 // had no information newer than the bound on draining servers: the store is available, and
 // only its answer is late. The caller is refused at once and retries.
-func TestKnowledgeOlderThanTheBoundSendsNothing(t *testing.T) {
+func TestStaleInformationSendsNothing(t *testing.T) {
 	server := newBackend(t, "i-1", ok)
 	r := unserved(server)
 	w := sendBy(r, 2100*time.Millisecond)
@@ -143,11 +143,11 @@
 
 // Guards against a refusal of the first request after an idle period: the information became
 // too old while there was nothing to send, and the store answers within milliseconds.
-func TestTheFirstRequestAfterAQuietTimeWaitsForTheStore(t *testing.T) {
+func TestTheFirstRequestAfterAnIdlePeriodWaitsForTheStore(t *testing.T) {
 	server := newBackend(t, "i-1", ok)
 	r := unserved(server)
 	go func() {
-		<-r.wanted
+		<-r.infoWanted
 		time.Sleep(20 * time.Millisecond)
 		r.mu.Lock()
 		defer r.mu.Unlock()
--- a/transport/direct/homes_test.go
+++ b/transport/direct/homes_test.go
@@ -13,7 +13,7 @@
 
 // Three regions, a route and a team with homes: both restrict the request, its body reaches no
 // server elsewhere, and a request whose homes are all gone is refused at once.
-func TestBodiesReachTheirHomesOnly(t *testing.T) {
+func TestBodiesReachOnlyTheirHomes(t *testing.T) {
 	north, south, west := newBackend(t, "i-north", ok), newBackend(t, "i-south", ok), newBackend(t, "i-west", ok)
 	c := testConfig(1)
 	for i := range c.Routes {
@@ -38,7 +38,7 @@
 		f.Check(id, qt.Equals, "r2")
 	}
 	f.source.changes <- mirror.Delta{Removed: []string{"i-south"}, Revision: 2}
-	f.waitFor("the server is still known", func() bool { return f.router.known() == 2 })
+	f.waitFor("the server is still known", func() bool { return f.router.knownRevision() == 2 })
 	f.Check(f.call("/keyed/", "r3", testKey, "key").status, qt.Equals, http.StatusServiceUnavailable)
 	f.Check(f.call("/safe/", "r4").status, qt.Equals, http.StatusOK)
 	f.Check(west.runs(), qt.HasLen, 0)
--- a/transport/direct/incarnation_test.go
+++ b/transport/direct/incarnation_test.go
@@ -62,7 +62,7 @@
 // A server that restarts under its id, at another address, receives the requests that the
 // earlier process received, also if that one had announced its shutdown; late messages about
 // the earlier one have no effect, whoever sends them.
-func TestAServerThatStartsAgainUnderItsIDIsANewOne(t *testing.T) {
+func TestARestartedServerIsANewIncarnation(t *testing.T) {
 	before, after := newBackend(t, "i-1", ok), newBackend(t, "i-1", ok)
 	f := startWith(t, testConfig(1), func(_ *settings.Direct, s *testSource) {
 		s.now.Servers = []roster.Server{incarnationOf(before, "i-1", 100)}
@@ -75,7 +75,7 @@
 	f.waitFor("the later process is not known", func() bool { return f.knows("i-1", 200) })
 	f.Check(f.call("/safe/", "r2").status, qt.Equals, http.StatusOK)
 	f.source.changes <- mirror.Delta{Servers: []roster.Server{leaving}, Revision: 4}
-	f.waitFor("the change did not arrive", func() bool { return f.router.known() == 4 })
+	f.waitFor("the change did not arrive", func() bool { return f.router.knownRevision() == 4 })
 	f.router.replace(mirror.Snapshot{Servers: []roster.Server{leaving}, Routers: map[string]mirror.Registration{}, Revision: 5})
 	f.Check(f.call("/safe/", "r3").status, qt.Equals, http.StatusOK)
 	f.Check(before.runs(), qt.DeepEquals, []string{"r1"})
@@ -85,7 +85,7 @@
 // An entry that another writer corrupted ends the use of its server at once, also while the
 // store is unavailable; runs there end regularly, other servers are not affected, the event is
 // logged once, and the server is used again with its next valid entry.
-func TestASpoiltEntryEndsTheUseOfItsServerOnly(t *testing.T) {
+func TestAnInvalidEntryEndsTheUseOfItsServerOnly(t *testing.T) {
 	slow := newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool {
 		time.Sleep(300 * time.Millisecond)
 		return ok(w, req)
@@ -111,7 +111,7 @@
 	f.Check(f.router.metrics.invalid.Value(), qt.Equals, int64(1))
 	f.Check(strings.Count(lines.String(), "event=entry_invalid key=key/i-1 revision=2"), qt.Equals, 1)
 	// Routers that ask this one are informed of it, too.
-	answer, err := f.router.mirrored(changesRequest{})
+	answer, err := f.router.changesFor(changesRequest{})
 	f.Assert(err, qt.IsNil)
 	f.Check(answer.Whole.Invalid, qt.DeepEquals, []mirror.InvalidEntry{spoilt})
 	f.source.changes <- mirror.Delta{Servers: []roster.Server{incarnationOf(slow, "i-1", 100)}, Removed: []string{"i-2"}, Revision: 4}
--- a/transport/direct/intake_test.go
+++ b/transport/direct/intake_test.go
@@ -36,7 +36,7 @@
 
 // Guards against callers who occupy every connection before admission with connections on
 // which they send nothing, or half a request, and so keep the callers of a known team out.
-func TestCallersWhoSendNothingKeepNoOthersOut(t *testing.T) {
+func TestSilentConnectionsDoNotStarveOtherCallers(t *testing.T) {
 	f := start(t, testConfig(1), newBackend(t, "i-1", ok))
 	known := from("127.0.0.2")
 	f.Assert(ask(f, known, "key", "first"), qt.Equals, http.StatusOK)
--- a/transport/direct/keep.go
+++ b/transport/direct/keep.go
@@ -10,36 +10,36 @@
 // Times for the entries in the store by which refused requests survive a restart of all
 // routers.
 const (
-	// keepLife is the lifetime of an entry without a renewal: the longest that the users'
+	// refusedEntryTTL is the lifetime of an entry without a renewal: the longest that the users'
 	// store allows.
-	keepLife = 10 * time.Minute
-	// keepEvery is the interval between checks for entries to write or remove.
-	keepEvery = time.Second
+	refusedEntryTTL = 10 * time.Minute
+	// refusedSyncInterval is the interval between checks for entries to write or remove.
+	refusedSyncInterval = time.Second
 )
 
-// takeStored applies the refused requests that are in the store. The caller holds mu.
-func (r *Router) takeStored(entries []quarantine.Entry) {
+// applyStored applies the refused requests that are in the store. The caller holds mu.
+func (r *Router) applyStored(entries []quarantine.Entry) {
 	if len(entries) > 0 {
 		r.quarantine.Stored(time.Now(), entries)
-		r.noteQuarantine()
+		r.handleQuarantineEvents()
 	}
 }
 
-// keepQuarantine writes the refused requests to the store and removes those that were cleared,
+// syncQuarantine writes the refused requests to the store and removes those that were cleared,
 // as far as this router is responsible for them. What fails is retried.
-func (r *Router) keepQuarantine(ctx context.Context) {
-	each(ctx, keepEvery, func(now time.Time) {
+func (r *Router) syncQuarantine(ctx context.Context) {
+	runEvery(ctx, refusedSyncInterval, func(now time.Time) {
 		r.mu.Lock()
-		keep, drop := r.quarantine.ToKeep(now, keepLife), r.quarantine.ToDrop()
+		keep, drop := r.quarantine.ToKeep(now, refusedEntryTTL), r.quarantine.ToDrop()
 		r.mu.Unlock()
-		r.enterRefused(ctx, keep)
-		r.removeFreed(ctx, drop)
+		r.storeRefused(ctx, keep)
+		r.removeCleared(ctx, drop)
 	})
 }
 
-func (r *Router) enterRefused(ctx context.Context, entries []quarantine.Entry) {
+func (r *Router) storeRefused(ctx context.Context, entries []quarantine.Entry) {
 	for _, one := range entries {
-		if !r.storeCall(ctx, func(ctx context.Context) error { return r.source.Keep(ctx, one, keepLife) }) {
+		if !r.storeCall(ctx, func(ctx context.Context) error { return r.source.Keep(ctx, one, refusedEntryTTL) }) {
 			return
 		}
 		r.mu.Lock()
@@ -48,7 +48,7 @@
 	}
 }
 
-func (r *Router) removeFreed(ctx context.Context, contents []quarantine.Fingerprint) {
+func (r *Router) removeCleared(ctx context.Context, contents []quarantine.Fingerprint) {
 	for _, content := range contents {
 		if !r.storeCall(ctx, func(ctx context.Context) error { return r.source.Drop(ctx, content) }) {
 			return
--- a/transport/direct/knowledge.go
+++ b/transport/direct/knowledge.go
@@ -28,23 +28,23 @@
 	return r.cfg.Staleness.IsBlind(r.knowledge())
 }
 
-// knowledgeWait bounds the time for which a request waits for more recent information, which
-// the store usually gives within a few milliseconds; knowledgeStep is the polling interval.
+// freshInfoWait bounds the time for which a request waits for more recent information, which
+// the store usually gives within a few milliseconds; freshInfoPoll is the polling interval.
 const (
-	knowledgeWait = 150 * time.Millisecond
-	knowledgeStep = 5 * time.Millisecond
+	freshInfoWait = 150 * time.Millisecond
+	freshInfoPoll = 5 * time.Millisecond
 )
 
-// awaitKnowledge reports whether the information about draining servers is recent enough to
+// awaitFreshInfo reports whether the information about draining servers is recent enough to
 // send the request to the server. A router that had nothing to send for a while may have to
 // query the store first.
-func (c *call) awaitKnowledge(ctx context.Context, server roster.Server) bool {
-	end := time.Now().Add(min(knowledgeWait, c.left()))
+func (c *call) awaitFreshInfo(ctx context.Context, server roster.Server) bool {
+	end := time.Now().Add(min(freshInfoWait, c.left()))
 	for !c.r.mayRelyOn(server) {
 		if ctx.Err() != nil || c.r.isBlind() || time.Now().After(end) {
 			return false
 		}
-		time.Sleep(knowledgeStep)
+		time.Sleep(freshInfoPoll)
 	}
 	return true
 }
@@ -62,7 +62,7 @@
 func (r *Router) mayRely(server roster.Server) bool {
 	k := r.knowledge()
 	if r.cfg.Staleness.Asks(k) {
-		r.wantKnowledge()
+		r.requestFreshInfo()
 	}
 	if !r.cfg.Staleness.IsOld(k) {
 		return true
@@ -73,10 +73,10 @@
 	return r.cfg.Staleness.MaySend(k)
 }
 
-// wantKnowledge makes the task that follows the store query it at once.
-func (r *Router) wantKnowledge() {
+// requestFreshInfo makes the task that follows the store query it at once.
+func (r *Router) requestFreshInfo() {
 	select {
-	case r.wanted <- struct{}{}:
+	case r.infoWanted <- struct{}{}:
 	default:
 	}
 }
--- a/transport/direct/leave.go
+++ b/transport/direct/leave.go
@@ -12,28 +12,28 @@
 // shutdownTimeout bounds the closing of the callers' connections once no request is in flight.
 const shutdownTimeout = 200 * time.Millisecond
 
-// leave runs the phases of a graceful shutdown.
-func (r *Router) leave(srv *http.Server) {
+// shutDown runs the phases of a graceful shutdown.
+func (r *Router) shutDown(srv *http.Server) {
 	cfg := leave.DefaultConfig()
 	// Everything must have ended within the bound, as the process is killed then.
 	cfg.Linger, cfg.Ending = r.set.Linger(), shutdownTimeout
 	cfg.Bound = max(r.set.Stop.Bound.D()-2*shutdownTimeout, cfg.Linger)
-	r.event("leaving", "held", r.held.Load())
+	r.event("leaving", "held", r.inFlight.Load())
 	r.unready.Store(true)
-	duty.Leave(cfg, r.held.Load, r.abort, func(p leave.Phase) { r.enter(p, srv) })
+	duty.Leave(cfg, r.inFlight.Load, r.abort, func(p leave.Phase) { r.enterPhase(p, srv) })
 }
 
-// enter starts a phase of the shutdown.
-func (r *Router) enter(p leave.Phase, srv *http.Server) {
+// enterPhase starts a phase of the shutdown.
+func (r *Router) enterPhase(p leave.Phase, srv *http.Server) {
 	switch p {
 	case leave.Refusing:
-		r.leaving.Store(true)
+		r.shuttingDown.Store(true)
 	case leave.Ending:
-		r.event("stop_bound_passed", "held", r.held.Load())
-		r.leaving.Store(true)
+		r.event("stop_bound_passed", "held", r.inFlight.Load())
+		r.shuttingDown.Store(true)
 		r.end()
 	case leave.Stopped:
-		r.event("stopped", "held", r.held.Load())
+		r.event("stopped", "held", r.inFlight.Load())
 		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		if srv.Shutdown(ctx) != nil {
--- a/transport/direct/leaving_test.go
+++ b/transport/direct/leaving_test.go
@@ -52,9 +52,9 @@
 	return false
 }
 
-// doubling answers correctly, and then announces the shutdown in a second answer, where the
+// answeringTwice answers correctly, and then announces the shutdown in a second answer, where the
 // answer to the next request is expected.
-func doubling(w io.Writer, req *http.Request) bool {
+func answeringTwice(w io.Writer, req *http.Request) bool {
 	ok(w, req)
 	time.Sleep(20 * time.Millisecond)
 	_, err := fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: another\r\n%s: m\r\n%sContent-Length: 0\r\n\r\n", testID, testMark, leavingHead)
@@ -64,7 +64,7 @@
 // A server announces its shutdown in an answer while the store receives nothing. It must get
 // no further request: not from callers, not by retries, not after the store is back with the
 // entry as it was, and not after that entry lapsed and came back.
-func TestAServerThatSaysThatItLeavesGetsNoMore(t *testing.T) {
+func TestAServerThatAnnouncesItsShutdownReceivesNothing(t *testing.T) {
 	for name, tc := range map[string]struct {
 		path string
 		way  func(io.Writer, *http.Request) bool
@@ -77,11 +77,11 @@
 		"a fault of the caller": {"/safe/", answering(http.StatusBadRequest, testMark+": m\r\n")},
 		"one without its mark":  {"/safe/", answering(http.StatusOK, "")},
 		"one that breaks off":   {"/safe/", breakingOff},
-		"a second answer":       {"/safe/", doubling},
+		"a second answer":       {"/safe/", answeringTwice},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			leaves, stays := newBackend(t, "i-1", tc.way), newBackend(t, "i-2", slowly)
+			leaves, stays := newBackend(t, "i-1", tc.way), newBackend(t, "i-2", respondSlowly)
 			f := start(t, testConfig(1), leaves, stays)
 			f.source.setDown(true)
 			go f.call(tc.path, "first")
@@ -95,11 +95,11 @@
 			f.loadFor(300 * time.Millisecond)
 			f.source.setDown(false)
 			f.source.changes <- mirror.Delta{Servers: servers(leaves), Revision: 2}
-			f.waitFor("the entry did not come", func() bool { return f.router.known() == 2 })
+			f.waitFor("the entry did not come", func() bool { return f.router.knownRevision() == 2 })
 			f.loadFor(200 * time.Millisecond)
 			f.source.changes <- mirror.Delta{Removed: []string{"i-1"}, Revision: 3}
 			f.source.changes <- mirror.Delta{Servers: servers(leaves), Revision: 4}
-			f.waitFor("the entry did not come back", func() bool { return f.router.known() == 4 })
+			f.waitFor("the entry did not come back", func() bool { return f.router.knownRevision() == 4 })
 			f.loadFor(200 * time.Millisecond)
 			f.Check(len(leaves.runs())-before, qt.Equals, 0)
 		})
@@ -124,15 +124,15 @@
 	callers.Wait()
 }
 
-// slowly answers correctly after a few milliseconds.
-func slowly(w io.Writer, req *http.Request) bool {
+// respondSlowly answers correctly after a few milliseconds.
+func respondSlowly(w io.Writer, req *http.Request) bool {
 	time.Sleep(5 * time.Millisecond)
 	return ok(w, req)
 }
 
 // The announcement concerns only the process that made it: a later one under its id receives
 // requests, also at its address.
-func TestALaterProcessOfAServerThatLeftGetsWork(t *testing.T) {
+func TestALaterIncarnationOfADrainedServerReceivesRequests(t *testing.T) {
 	var later atomic.Bool
 	one := newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool {
 		if later.Load() {
@@ -153,13 +153,13 @@
 
 // A router that has sent the server nothing learns of the shutdown from the one that did,
 // through their regular gossip.
-func TestOtherRoutersHearThatAServerLeaves(t *testing.T) {
-	leaves, stays := newBackend(t, "i-1", answering(http.StatusOK, testMark+": m\r\n")), newBackend(t, "i-2", slowly)
+func TestOtherRoutersLearnThatAServerDrains(t *testing.T) {
+	leaves, stays := newBackend(t, "i-1", answering(http.StatusOK, testMark+": m\r\n")), newBackend(t, "i-2", respondSlowly)
 	first, second := startPeer(t, "first", testConfig(1), leaves, stays), startPeer(t, "second", testConfig(1), leaves, stays)
 	first.source.setDown(true)
 	second.source.setDown(true)
-	first.meet(second)
-	second.meet(first)
+	first.registerPeer(second)
+	second.registerPeer(first)
 	first.Check(first.call("/safe/", "r1").status, qt.Equals, http.StatusOK)
 	second.waitFor("the other router did not receive it", func() bool { return !second.knows("i-1", 0) })
 	second.loadFor(leavingBound)
@@ -168,21 +168,21 @@
 
 // A request was placed at a server, and while its connection is opened another answer
 // announces the server's shutdown: the request is not sent.
-func TestWhatWasPlacedIsNotSentToAServerThatLeaves(t *testing.T) {
+func TestAPlacedRequestIsNotSentToADrainingServer(t *testing.T) {
 	server := newBackend(t, "i-1", ok)
 	r := informed(server)
 	c := &call{r: r, table: r.table.Load(), service: "app", req: httptest.NewRequest(http.MethodPost, "/safe/", http.NoBody)}
 	c.route = c.table.Route("h", "/safe/")
-	d := c.place()
+	d := c.placeRequest()
 	one, _ := r.server("i-1")
 	qt.Check(t, r.mayBegin(d.Run, one), qt.IsNil)
-	c.announced(one, Reply{Leaving: true})
-	qt.Check(t, r.mayBegin(d.Run, one), qt.ErrorIs, errLeft)
+	c.applyAnnouncement(one, Reply{Leaving: true})
+	qt.Check(t, r.mayBegin(d.Run, one), qt.ErrorIs, errServerGone)
 }
 
 // Another server has the address and announces its shutdown and a back-off: that says nothing
 // about the intended server.
-func TestAnotherServersWordSaysNothingOfTheOneThatWasMeant(t *testing.T) {
+func TestAnotherServersAnnouncementDoesNotConcernTheIntendedServer(t *testing.T) {
 	var other atomic.Bool
 	other.Store(true)
 	b := newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool {
@@ -199,15 +199,15 @@
 
 // A server ends after it announced its shutdown: that is no crash, and no request that ran
 // there gets a strike.
-func TestTheEndOfAServerThatSaidThatItLeavesIsNoCrash(t *testing.T) {
+func TestTheEndOfADrainingServerIsNoCrash(t *testing.T) {
 	for _, said := range []bool{false, true} {
 		server := newBackend(t, "i-1", ok)
 		r := unserved(server)
 		one, _ := r.server("i-1")
 		if said {
-			(&call{r: r}).announced(one, Reply{Leaving: true})
+			(&call{r: r}).applyAnnouncement(one, Reply{Leaving: true})
 		}
-		r.crashed(one)
+		r.serverCrashed(one)
 		want := int64(1)
 		if said {
 			want = 0
--- a/transport/direct/left_test.go
+++ b/transport/direct/left_test.go
@@ -22,8 +22,8 @@
 	"goldcrestport/transport/callerconn"
 )
 
-// pair returns both ends of a connection, the caller's first.
-func pair(t *testing.T) (caller, accepted net.Conn) {
+// connectionPair returns both ends of a connection, the caller's first.
+func connectionPair(t *testing.T) (caller, accepted net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	defer l.Close()
@@ -114,15 +114,15 @@
 // A flooded router takes half a second between the first check of a caller and the send; the
 // caller gave up meanwhile, after its request had waited unread for seconds. On one site nine
 // requests were sent half a second after their callers had disconnected.
-func TestALateRouterLooksAgainBeforeItSends(t *testing.T) {
+func TestALateRouterChecksTheCallerBeforeItSends(t *testing.T) {
 	for _, tc := range []struct {
 		left bool
 		want int
 	}{{true, 0}, {false, 1}} {
 		server := newBackend(t, "i-1", ok)
 		r := informed(server)
-		r.load.late.Store(int64(2 * leftLate))
-		caller, accepted := pair(t)
+		r.load.meanLateness.Store(int64(2 * disconnectCheckLateness))
+		caller, accepted := connectionPair(t)
 		if tc.left {
 			qt.Assert(t, caller.Close(), qt.IsNil)
 			time.Sleep(20 * time.Millisecond) // until the end of the connection has arrived
@@ -134,7 +134,7 @@
 			received: time.Now(), deadline: time.Now().Add(3 * time.Second),
 		}
 		c.route = c.table.Route("h", "/safe/")
-		decision := c.place()
+		decision := c.placeRequest()
 		qt.Assert(t, decision.Verdict, qt.Equals, admission.Send)
 		next, err := c.attempt(req.Context(), decision.Run, &eventstream.Follower{})
 		qt.Check(t, err, qt.IsNil)
--- a/transport/direct/load.go
+++ b/transport/direct/load.go
@@ -16,14 +16,14 @@
 type load struct {
 	// saturated tells that the processor has more work than it can do.
 	saturated atomic.Bool
-	// away tells that the router is out of the load balancer's rotation.
-	away atomic.Bool
-	// late is the mean lateness in nanoseconds.
-	late atomic.Int64
-	// most is the maximum number of streams; 0 for no bound.
-	most atomic.Int64
-	// growth is the garbage collector's current target. Only the task that measures uses it.
-	growth int
+	// outOfRotation tells that the router is out of the load balancer's rotation.
+	outOfRotation atomic.Bool
+	// meanLateness is the mean lateness in nanoseconds.
+	meanLateness atomic.Int64
+	// maxStreams is the maximum number of streams; 0 for no bound.
+	maxStreams atomic.Int64
+	// gcTarget is the garbage collector's current target. Only the task that measures uses it.
+	gcTarget int
 
 	mu sync.Mutex
 	// streams is the number of open streams in total, and byTeam that of each team.
@@ -43,18 +43,18 @@
 	r.admission.SetGossipPeriod(period)
 }
 
-// heard processes the rotation state that a router of the same data centre sent.
-func (l *load) heard(now time.Time, router string, w rotation.Word) {
+// receiveRotation processes the rotation state that a router of the same data centre sent.
+func (l *load) receiveRotation(now time.Time, router string, w rotation.Word) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rotation.Heard(now, router, w)
 }
 
-// rotationWord returns the rotation state that this router sends its neighbours. A router that
+// rotationMessage returns the rotation state that this router sends its neighbours. A router that
 // is unready for another reason than its load is out of rotation, and does not return to make
 // room for another one.
-func (r *Router) rotationWord(now time.Time) rotation.Word {
-	if r.ready() != nil && !r.load.away.Load() {
+func (r *Router) rotationMessage(now time.Time) rotation.Word {
+	if r.ready() != nil && !r.load.outOfRotation.Load() {
 		return rotation.Word{Away: time.Millisecond, Late: true}
 	}
 	r.load.mu.Lock()
@@ -62,21 +62,21 @@
 	return r.load.rotation.Word(now)
 }
 
-// rotate applies the state of the processor. It reports whether the router left the rotation
-// or returned to it.
-func (l *load) rotate(now time.Time, late, calm bool) (changed bool) {
+// updateRotation applies the state of the processor. It reports whether the router left the
+// rotation or returned to it.
+func (l *load) updateRotation(now time.Time, late, calm bool) (changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	changed = l.rotation.Observe(now, late, calm)
-	l.away.Store(l.rotation.Away())
+	l.outOfRotation.Store(l.rotation.Away())
 	return changed
 }
 
-// take opens one more stream of the team if the limits allow it.
-func (l *load) take(team string) bool {
+// acquireStream opens one more stream of the team if the limits allow it.
+func (l *load) acquireStream(team string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !saturation.Admits(int(l.most.Load()), l.streams, l.byTeam[team]) {
+	if !saturation.Admits(int(l.maxStreams.Load()), l.streams, l.byTeam[team]) {
 		return false
 	}
 	l.streams++
@@ -87,8 +87,8 @@
 	return true
 }
 
-// release closes one stream of the team.
-func (l *load) release(team string) {
+// releaseStream closes one stream of the team.
+func (l *load) releaseStream(team string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.streams--
@@ -98,8 +98,8 @@
 	}
 }
 
-// held returns the number of open streams.
-func (l *load) held() int {
+// openStreams returns the number of open streams.
+func (l *load) openStreams() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.streams
@@ -118,23 +118,23 @@
 func (r *Router) observeLoad(tracker *saturation.Tracker, limit *saturation.Limit, now time.Time, late time.Duration) {
 	changed := tracker.Observe(late)
 	r.load.saturated.Store(tracker.Saturated())
-	limit.Adjust(now, tracker.Mean(), r.load.held())
-	r.load.late.Store(int64(tracker.Mean()))
-	held := r.load.held()
+	limit.Adjust(now, tracker.Mean(), r.load.openStreams())
+	r.load.meanLateness.Store(int64(tracker.Mean()))
+	held := r.load.openStreams()
 	if r.gate.Observe(now, late, held >= limit.Most()) {
 		r.event("intake", "chooses", r.gate.Chooses(), "lateness", tracker.Mean(), "streams", held, "most", limit.Most())
 	}
 	r.selfCheck(now, !tracker.Calm())
-	r.load.most.Store(int64(limit.Most()))
-	if growth := saturation.HeapGrowth(r.load.growth, tracker.Mean()); growth != r.load.growth {
-		r.load.growth = growth
+	r.load.maxStreams.Store(int64(limit.Most()))
+	if growth := saturation.HeapGrowth(r.load.gcTarget, tracker.Mean()); growth != r.load.gcTarget {
+		r.load.gcTarget = growth
 		debug.SetGCPercent(growth)
 	}
-	if r.load.rotate(now, tracker.Saturated(), tracker.Calm()) {
-		r.event("rotation", "away", r.load.away.Load(), "lateness", tracker.Mean())
+	if r.load.updateRotation(now, tracker.Saturated(), tracker.Calm()) {
+		r.event("rotation", "away", r.load.outOfRotation.Load(), "lateness", tracker.Mean())
 	}
 	if changed {
-		r.event("load", "saturated", tracker.Saturated(), "lateness", tracker.Mean(), "streams", r.load.held(), "most", limit.Most(), "held", r.held.Load(), "connections", r.callers.Open(), "shed", r.metrics.shed.Value())
+		r.event("load", "saturated", tracker.Saturated(), "lateness", tracker.Mean(), "streams", r.load.openStreams(), "most", limit.Most(), "held", r.inFlight.Load(), "connections", r.callers.Open(), "shed", r.metrics.shed.Value())
 	}
 }
 
@@ -155,12 +155,12 @@
 // under low load relays them at once.
 const gatherPerLate = 12
 
-// gatherShare is the share of the allowed event delay for which an event may be gathered; the
+// gatherDelayShare is the share of the allowed event delay for which an event may be gathered; the
 // rest covers the network and the router's lateness.
-const gatherShare = 0.6
+const gatherDelayShare = 0.6
 
 // gatherTime is how long events of a stream are currently gathered.
 func (r *Router) gatherTime() time.Duration {
-	late := time.Duration(r.load.late.Load())
-	return min(gatherPerLate*late, time.Duration(gatherShare*float64(r.set.EventDelay.D())))
+	late := time.Duration(r.load.meanLateness.Load())
+	return min(gatherPerLate*late, time.Duration(gatherDelayShare*float64(r.set.EventDelay.D())))
 }
--- a/transport/direct/metrics.go
+++ b/transport/direct/metrics.go
@@ -10,19 +10,19 @@
 
 // metrics are the counters and histograms of one router, see docs/METRICS.md.
 type metrics struct {
-	vars        *observe.Vars
-	requests    *expvar.Int
-	outcomes    *expvar.Map
-	repeats     *expvar.Int
-	storeErrors *expvar.Int
-	dropped     *expvar.Int
-	peerErrors  *expvar.Int
-	peerReads   *expvar.Int
-	passed      *expvar.Int
-	passedOn    *expvar.Int
-	closedIdle  *expvar.Int
-	invalid     *expvar.Int
-	shed        *expvar.Int
+	vars            *observe.Vars
+	requests        *expvar.Int
+	outcomes        *expvar.Map
+	repeats         *expvar.Int
+	storeErrors     *expvar.Int
+	dropped         *expvar.Int
+	peerErrors      *expvar.Int
+	peerReads       *expvar.Int
+	changesAttached *expvar.Int
+	forwarded       *expvar.Int
+	closedIdle      *expvar.Int
+	invalid         *expvar.Int
+	shed            *expvar.Int
 	// backoffs counts refusals by which a server requested a back-off.
 	backoffs *expvar.Int
 	// invalidAnswers counts answers with information about their server that cannot be parsed.
@@ -32,11 +32,11 @@
 	cleared        *expvar.Int
 	latency        *observe.Times
 	// abandoned counts attempts abandoned after their first byte, abandonedUnacked those among
-	// them with unacknowledged bytes; knowledge holds the age of the router's information
+	// them with unacknowledged bytes; infoAge holds the age of the router's information
 	// about draining servers at first bytes.
 	abandoned        *expvar.Int
 	abandonedUnacked *expvar.Int
-	knowledge        *observe.Times
+	infoAge          *observe.Times
 	// answers counts servers' answers by framing, end and verdict.
 	answers *expvar.Map
 }
@@ -44,29 +44,29 @@
 func newMetrics(r *Router) *metrics {
 	v := observe.NewVars()
 	m := &metrics{
-		vars:           v,
-		requests:       v.Int("direct_requests"),
-		outcomes:       v.Map("direct_outcomes"),
-		repeats:        v.Int("direct_repeats"),
-		storeErrors:    v.Int("direct_store_errors"),
-		dropped:        v.Int("log_lines_dropped"),
-		peerReads:      v.Int("direct_peer_reads"),
-		passed:         v.Int("direct_changes_passed"),
-		passedOn:       v.Int("direct_messages_passed_on"),
-		peerErrors:     v.Int("direct_peer_errors"),
-		closedIdle:     v.Int("direct_idle_closed"),
-		invalid:        v.Int("direct_invalid_entries"),
-		shed:           v.Int("direct_shed"),
-		backoffs:       v.Int("direct_backoffs"),
-		invalidAnswers: v.Int("direct_invalid_answers"),
-		crashes:        v.Int("direct_server_crashes"),
-		confirmed:      v.Int("direct_quarantine_confirmed"),
-		cleared:        v.Int("direct_quarantine_cleared"),
-		latency:        v.Times("direct_latency_us"),
+		vars:            v,
+		requests:        v.Int("direct_requests"),
+		outcomes:        v.Map("direct_outcomes"),
+		repeats:         v.Int("direct_repeats"),
+		storeErrors:     v.Int("direct_store_errors"),
+		dropped:         v.Int("log_lines_dropped"),
+		peerReads:       v.Int("direct_peer_reads"),
+		changesAttached: v.Int("direct_changes_passed"),
+		forwarded:       v.Int("direct_messages_passed_on"),
+		peerErrors:      v.Int("direct_peer_errors"),
+		closedIdle:      v.Int("direct_idle_closed"),
+		invalid:         v.Int("direct_invalid_entries"),
+		shed:            v.Int("direct_shed"),
+		backoffs:        v.Int("direct_backoffs"),
+		invalidAnswers:  v.Int("direct_invalid_answers"),
+		crashes:         v.Int("direct_server_crashes"),
+		confirmed:       v.Int("direct_quarantine_confirmed"),
+		cleared:         v.Int("direct_quarantine_cleared"),
+		latency:         v.Times("direct_latency_us"),
 
 		abandoned:        v.Int("direct_attempts_abandoned"),
 		abandonedUnacked: v.Int("direct_attempts_abandoned_unacked"),
-		knowledge:        v.Times("direct_knowledge_age_us"),
+		infoAge:          v.Times("direct_knowledge_age_us"),
 		answers:          v.Map("direct_answers"),
 	}
 	v.Func("direct_quarantine_suspects", func() any { return r.inQuarantine((*quarantine.State).Suspects) })
@@ -92,12 +92,12 @@
 		return r.roster.Missing()
 	})
 	v.Func("direct_away", func() any {
-		if r.load.away.Load() {
+		if r.load.outOfRotation.Load() {
 			return 1
 		}
 		return 0
 	})
-	v.Func("direct_held", func() any { return r.held.Load() })
+	v.Func("direct_held", func() any { return r.inFlight.Load() })
 	v.Func("direct_caller_connections", func() any { return r.callers.Open() })
 	v.Func("direct_dials", func() any { return r.pool.Dials() })
 	v.Func("direct_configuration_version", func() any {
--- a/transport/direct/pack_test.go
+++ b/transport/direct/pack_test.go
@@ -13,8 +13,8 @@
 	"goldcrestport/state/routing"
 )
 
-// manyServers returns n servers that come back at once, such as a third of a large fleet's.
-func manyServers(n int) []roster.Server {
+// returningServers returns n servers that come back at once, such as a third of a large fleet's.
+func returningServers(n int) []roster.Server {
 	var out []roster.Server
 	for i := range n {
 		out = append(out, roster.Server{ID: fmt.Sprintf("i-%08x", i*2654435761), Address: fmt.Sprintf("10.128.%d.%d:8080", i/250, i%250), Service: "engines", Slots: 64, DataCentre: "west"})
@@ -24,9 +24,9 @@
 
 // A data centre of a thousand servers is lost and comes back, and each of hundreds of routers
 // fetches the changes from one watcher.
-func TestTheChangesOfALostDataCentreTravelPacked(t *testing.T) {
+func TestChangesOfALostDataCentreArePacked(t *testing.T) {
 	c := qt.New(t)
-	d := mirror.Delta{Revision: 9, Servers: manyServers(1000)}
+	d := mirror.Delta{Revision: 9, Servers: returningServers(1000)}
 	answer := &changesAnswer{Changes: &d, Settling: true}
 	plain, err := json.Marshal(answer)
 	c.Assert(err, qt.IsNil)
@@ -48,7 +48,7 @@
 	c.Check(packed.Whole.Config.Version, qt.Equals, uint64(2))
 }
 
-func TestWhatIsNoRecordIsRefused(t *testing.T) {
+func TestInvalidRecordsAreRefused(t *testing.T) {
 	c := qt.New(t)
 	var d mirror.Delta
 	for _, data := range []string{"", "x", "\x1f\x8bjunk"} {
--- a/transport/direct/pass.go
+++ b/transport/direct/pass.go
@@ -7,28 +7,28 @@
 	"goldcrestport/protocol/digest"
 )
 
-// passMost bounds the packed changes that are attached to a message, in bytes: with the digest
+// maxAttached bounds the packed changes that are attached to a message, in bytes: with the digest
 // they must fit into a datagram. Other routers fetch larger ones, such as a configuration of
 // hundreds of routes.
-const passMost = 20 << 10
+const maxAttached = 20 << 10
 
-// passing holds changes of the store until the next message is sent: a saturated router then
-// learns from one datagram that a server is draining, without a call for which its processor
-// has no time.
-type passing struct {
+// attachedChanges holds changes of the store until the next message is sent: a saturated
+// router then learns from one datagram that a server is draining, without a call for which its
+// processor has no time.
+type attachedChanges struct {
 	after   uint64
 	changes []byte
 }
 
-// take returns the changes and clears them.
-func (p *passing) take() (changes []byte, after uint64) {
+// takeAll returns the changes and clears them.
+func (p *attachedChanges) takeAll() (changes []byte, after uint64) {
 	changes, after = p.changes, p.after
-	*p = passing{}
+	*p = attachedChanges{}
 	return changes, after
 }
 
-// pass queues changes that the store sent this router, for the other routers.
-func (r *Router) pass(after uint64, d mirror.Delta) {
+// attachChanges queues changes that the store sent this router, for the other routers.
+func (r *Router) attachChanges(after uint64, d mirror.Delta) {
 	if d.Revision <= after || d.IsEmpty() {
 		return
 	}
@@ -37,18 +37,18 @@
 		r.event("changes_not_passed", "err", err)
 		return
 	}
-	if data = pack(data); len(data) > passMost {
+	if data = pack(data); len(data) > maxAttached {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.passing = passing{after: after, changes: data}
+	r.attached = attachedChanges{after: after, changes: data}
 }
 
-// takePassed applies changes that came with a message if they directly follow this router's
+// applyAttached applies changes that came with a message if they directly follow this router's
 // revision. Others are fetched once their revision is confirmed as current.
-func (r *Router) takePassed(m digest.Message) {
-	if m.Changes == nil || m.After != r.known() {
+func (r *Router) applyAttached(m digest.Message) {
+	if m.Changes == nil || m.After != r.knownRevision() {
 		return
 	}
 	var d mirror.Delta
@@ -56,7 +56,7 @@
 		r.metrics.peerErrors.Add(1)
 		return
 	}
-	r.take(d.Config)
+	r.adoptIfPresent(d.Config)
 	r.update(d)
-	r.metrics.passed.Add(1)
+	r.metrics.changesAttached.Add(1)
 }
--- a/transport/direct/passon_test.go
+++ b/transport/direct/passon_test.go
@@ -21,8 +21,8 @@
 	conn *net.UDPConn
 }
 
-// say sends a message to the router under test.
-func (n *neighbour) say(c *qt.C, f *fixture, dataCentre string, seq uint32) {
+// sendMessage sends a message to the router under test.
+func (n *neighbour) sendMessage(c *qt.C, f *fixture, dataCentre string, seq uint32) {
 	n.send(c, f, digest.Append(nil, digest.Message{Router: n.id, Seq: seq, DataCentre: digest.DataCentreOf(dataCentre), PassesOn: true}))
 }
 
@@ -33,9 +33,9 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// hears returns the messages of a router that arrive within the time, and how many of them
+// receive returns the messages of a router that arrive within the time, and how many of them
 // were to be forwarded.
-func (n *neighbour) hears(router string, within time.Duration) (out []digest.Message, passOn int) {
+func (n *neighbour) receive(router string, within time.Duration) (out []digest.Message, passOn int) {
 	buf := make([]byte, maxDatagram)
 	_ = n.conn.SetReadDeadline(time.Now().Add(within))
 	for {
@@ -54,8 +54,8 @@
 	}
 }
 
-// playNeighbours starts a router that knows the simulated neighbours.
-func playNeighbours(t *testing.T, ids ...string) (*fixture, map[string]*neighbour) {
+// startWithNeighbours starts a router that knows the simulated neighbours.
+func startWithNeighbours(t *testing.T, ids ...string) (*fixture, map[string]*neighbour) {
 	c := qt.New(t)
 	all := map[string]*neighbour{}
 	joined := map[string]mirror.Registration{}
@@ -75,21 +75,21 @@
 
 // A message to be forwarded from another data centre's router goes to the routers of this data
 // centre, each with its own part of the message, and to no other router.
-func TestAMessageIsPassedOnInItsDataCentre(t *testing.T) {
-	f, all := playNeighbours(t, "near-1", "near-2", "far-1", "far-2")
+func TestAMessageIsForwardedInItsDataCentre(t *testing.T) {
+	f, all := startWithNeighbours(t, "near-1", "near-2", "far-1", "far-2")
 	for _, n := range all {
 		dataCentre := "there"
 		if strings.HasPrefix(n.id, "near") {
 			dataCentre = "here"
 		}
-		n.say(f.C, f, dataCentre, 1)
+		n.sendMessage(f.C, f, dataCentre, 1)
 	}
 	time.Sleep(300 * time.Millisecond)
 	message := digest.Append(nil, digest.Message{Router: "far-1", Seq: 2, DataCentre: digest.DataCentreOf("there"), PassesOn: true})
 	heard := map[digest.Router]uint32{digest.RouterOf("near-1"): 7, digest.RouterOf("near-2"): 8}
 	all["far-1"].send(f.C, f, digest.AppendPassOn(nil, digest.PassOn{Heard: heard, Revision: 2, Message: message}))
 	for id, n := range all {
-		got, _ := n.hears("far-1", 300*time.Millisecond)
+		got, _ := n.receive("far-1", 300*time.Millisecond)
 		if strings.HasPrefix(id, "far") {
 			f.Check(got, qt.HasLen, 0, qt.Commentf("%s", id))
 			continue
@@ -108,15 +108,15 @@
 	for i := range 10 {
 		ids = append(ids, fmt.Sprintf("far-%d", i))
 	}
-	f, all := playNeighbours(t, ids...)
+	f, all := startWithNeighbours(t, ids...)
 	crossed := map[uint32]int{}
 	passers := map[string]bool{}
 	for round := range 8 {
 		for _, n := range all {
-			n.say(f.C, f, "there", uint32(round+1))
+			n.sendMessage(f.C, f, "there", uint32(round+1))
 		}
 		for id, n := range all {
-			got, passOn := n.hears("self", 30*time.Millisecond)
+			got, passOn := n.receive("self", 30*time.Millisecond)
 			for _, m := range got {
 				crossed[m.Seq]++
 			}
@@ -127,7 +127,7 @@
 	}
 	few := 0
 	for _, times := range crossed {
-		if times <= vouchCopies+watchduty.DefaultConfig().Watchers {
+		if times <= confirmationCopies+watchduty.DefaultConfig().Watchers {
 			few++
 		}
 	}
--- a/transport/direct/peers.go
+++ b/transport/direct/peers.go
@@ -12,31 +12,32 @@
 
 // Intervals and size limits of the messages between routers.
 const (
-	// tellEvery is the interval between digests in a small fleet. An engine reads 1,300 tokens
-	// in it, less than a long prompt.
-	tellEvery = 20 * time.Millisecond
-	// tellBudget bounds the datagrams that a router sends per second; in larger fleets digests
+	// digestInterval is the interval between digests in a small fleet. An engine reads 1,300
+	// tokens in it, less than a long prompt.
+	digestInterval = 20 * time.Millisecond
+	// digestBudget bounds the datagrams that a router sends per second; in larger fleets digests
 	// are sent less often.
-	tellBudget = 200
-	// greetEvery is the maximum interval between messages to a router that queries the store:
-	// that router's confirmation is as old as the last message that it received before.
-	greetEvery = 200 * time.Millisecond
-	// allEvery is the interval between digests that name every server, which correct what lost
-	// digests left wrong.
-	allEvery = time.Second
-	// teamsEvery is the interval between digests that name the teams. Their shares cover the
+	digestBudget = 200
+	// heartbeatInterval is the maximum interval between messages to a router that queries the
+	// store: that router's confirmation is as old as the last message that it received before.
+	heartbeatInterval = 200 * time.Millisecond
+	// fullDigestInterval is the interval between digests that name every server, which correct
+	// what lost digests left wrong.
+	fullDigestInterval = time.Second
+	// teamsInterval is the interval between digests that name the teams. Their shares cover the
 	// last seconds.
-	teamsEvery = 250 * time.Millisecond
-	// vouchCopies is the number of routers of another data centre that forward a confirmation
-	// by the store: one of them may have failed without its failure being known yet.
-	vouchCopies = 2
+	teamsInterval = 250 * time.Millisecond
+	// confirmationCopies is the number of routers of another data centre that forward a
+	// confirmation by the store: one of them may have failed without its failure being known
+	// yet.
+	confirmationCopies = 2
 	// maxDatagram bounds a message, in bytes, below the limit of UDP. Changes that do not fit
 	// beside the digest are fetched by the receivers.
 	maxDatagram = 60 << 10
 )
 
-// exchange starts the tasks that send messages to other routers and receive theirs.
-func (r *Router) exchange(ctx context.Context) error {
+// startGossip starts the tasks that send messages to other routers and receive theirs.
+func (r *Router) startGossip(ctx context.Context) error {
 	if r.set.Listen.Peers == "" {
 		return nil
 	}
@@ -57,9 +58,9 @@
 	if err := r.serveSeeds(ctx); err != nil {
 		return err
 	}
-	t := &teller{r: r, conn: conn, seq: rand.Uint32(), destinations: make(map[string]netip.AddrPort), watchers: make(map[string]netip.AddrPort)}
+	t := &gossiper{r: r, conn: conn, seq: rand.Uint32(), destinations: make(map[string]netip.AddrPort), watchers: make(map[string]netip.AddrPort)}
 	go t.run(ctx)
-	go r.listen(conn)
+	go r.receiveDatagrams(conn)
 	return nil
 }
 
--- a/transport/direct/place.go
+++ b/transport/direct/place.go
@@ -8,8 +8,8 @@
 	"goldcrestport/protocol/outcome"
 )
 
-// place asks the admission for a server, again if the request was sent before.
-func (c *call) place() admission.Decision {
+// placeRequest asks the admission for a server, again if the request was sent before.
+func (c *call) placeRequest() admission.Decision {
 	req := admission.Request{
 		Service: c.service, Team: c.team, Class: c.route.Name, Prompt: c.meta.Prompt, Output: c.meta.Output, SharedPrefixes: c.meta.Shared,
 		Objective: c.route.Objective, Elapsed: c.elapsed, Avoid: c.avoid, Homes: c.homes(), Repeatable: c.route.MayRepeat(), Sent: c.sent > 0, Counted: c.tokens > 0, MayHaveRun: c.reached > 0,
@@ -17,7 +17,7 @@
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
 	if c.r.warmup.Any() {
-		c.r.warmup.SetRegistered(c.r.member.stands(bootTime()))
+		c.r.warmup.SetRegistered(c.r.member.isValid(bootTime()))
 	}
 	return c.r.admission.Place(time.Now(), req)
 }
@@ -34,11 +34,11 @@
 	return all
 }
 
-// unplaced ends a request for which no server was found.
-func (c *call) unplaced(d admission.Decision) {
+// refuseUnplaced ends a request for which no server was found.
+func (c *call) refuseUnplaced(d admission.Decision) {
 	switch {
-	case c.begun:
-		c.cut("no_server")
+	case c.answerBegun:
+		c.abortAnswer("no_server")
 	case c.reached > 0:
 		c.fail(outcome.ReasonBackend, http.StatusBadGateway, "the answer was lost and no further server is free")
 	case d.Verdict == admission.Refuse && d.Cold:
--- a/transport/direct/places.go
+++ b/transport/direct/places.go
@@ -17,23 +17,23 @@
 	crowdedShare = 0.25
 )
 
-// mostConnections is the maximum number of callers' connections.
-func mostConnections(set settings.Direct) int {
+// maxConnections is the maximum number of callers' connections.
+func maxConnections(set settings.Direct) int {
 	byMemory := int(connectionShare * float64(set.Memory.Bytes()) / connectionBytes)
 	return min(set.Callers.Connections, byMemory)
 }
 
-// mostKept is the number of connections above which idle ones are closed: a caller whose
+// maxKeptConnections is the number of connections above which idle ones are closed: a caller whose
 // connection is not accepted waits unread.
-func mostKept(set settings.Direct) int {
-	most := mostConnections(set)
+func maxKeptConnections(set settings.Direct) int {
+	most := maxConnections(set)
 	return most - max(int(freeShare*float64(most)), 1)
 }
 
-// full reports whether the maximum number of callers' connections is open.
-func (r *Router) full() bool { return r.callers.Open() >= mostConnections(r.set) }
+// isFull reports whether the maximum number of callers' connections is open.
+func (r *Router) isFull() bool { return r.callers.Open() >= maxConnections(r.set) }
 
 // crowded reports whether connections should get a short idle timeout.
 func (r *Router) crowded() bool {
-	return float64(r.callers.Open()) > crowdedShare*float64(mostConnections(r.set))
+	return float64(r.callers.Open()) > crowdedShare*float64(maxConnections(r.set))
 }
--- a/transport/direct/ready.go
+++ b/transport/direct/ready.go
@@ -17,19 +17,19 @@
 	if r.table.Load() == nil {
 		return errors.New("no configuration yet")
 	}
-	if r.load.away.Load() {
+	if r.load.outOfRotation.Load() {
 		return errors.New("the processor is saturated")
 	}
-	if r.full() {
+	if r.isFull() {
 		return errors.New("the maximum number of callers' connections is open")
 	}
 	now := bootTime()
-	if cut := time.Duration(r.cutSince.Load()); cut != 0 && now-cut > cutReady {
+	if cut := time.Duration(r.storeSilentSince.Load()); cut != 0 && now-cut > partitionedReadyTime {
 		return errors.Newf("the store has not answered this router for %v", now-cut)
 	}
 	r.mu.Lock()
 	age, known := r.fresh.Age(now)
-	bound := time.Duration(unreadyShare * float64(r.cfg.Freshness))
+	bound := time.Duration(unreadyFreshnessShare * float64(r.cfg.Freshness))
 	r.mu.Unlock()
 	if !known || age > bound {
 		return errors.Newf("the configuration was last confirmed as current %v ago", age)
--- a/transport/direct/relay.go
+++ b/transport/direct/relay.go
@@ -16,23 +16,23 @@
 	"goldcrestport/transport/backend"
 )
 
-// pass relays an answer to the caller.
-func (c *call) pass(ctx context.Context, answer *backend.Answer, reply Reply, events *eventstream.Follower) (step, health.Result, error) {
+// relay relays an answer to the caller.
+func (c *call) relay(ctx context.Context, answer *backend.Answer, reply Reply, events *eventstream.Follower) (step, health.Result, error) {
 	success := isSuccess(answer.Status)
 	switch {
-	case c.begun:
+	case c.answerBegun:
 		if !success || !reply.Marked {
 			return broken, health.Failure, errors.Newf("the stream could not be resumed: %d", answer.Status)
 		}
-		return c.passEvents(ctx, answer, events)
+		return c.relayEvents(ctx, answer, events)
 	case success && !reply.Marked:
 		return failed, health.Failure, errors.New("success response without the server's mark")
 	case c.isStream(answer):
-		return c.passEvents(ctx, answer, events)
-	case answer.Length <= wholeBody:
-		return c.passWhole(ctx, answer, success)
+		return c.relayEvents(ctx, answer, events)
+	case answer.Length <= maxBufferedBody:
+		return c.relayWhole(ctx, answer, success)
 	default:
-		return c.passBytes(ctx, answer)
+		return c.relayBytes(ctx, answer)
 	}
 }
 
@@ -54,24 +54,24 @@
 	if errors.Is(err, io.EOF) {
 		err = errNotWhole
 	}
-	if c.begun {
+	if c.answerBegun {
 		return broken, resultAfter(ctx, err), err
 	}
 	return failed, resultAfter(ctx, err), err
 }
 
-// passWhole reads the answer to its end before any of it is relayed.
-func (c *call) passWhole(ctx context.Context, answer *backend.Answer, success bool) (step, health.Result, error) {
-	body, err := io.ReadAll(io.LimitReader(answer, wholeBody))
+// relayWhole reads the answer to its end before any of it is relayed.
+func (c *call) relayWhole(ctx context.Context, answer *backend.Answer, success bool) (step, health.Result, error) {
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBody))
 	if err != nil {
-		c.concluded(ctx, answer, nil)
+		c.judgeEnd(ctx, answer, nil)
 		return c.brokeOff(ctx, err)
 	}
-	if len(body) == wholeBody && answer.Length != wholeBody {
+	if len(body) == maxBufferedBody && answer.Length != maxBufferedBody {
 		c.head(answer, -1)
-		return c.passRest(ctx, answer, body)
+		return c.relayRest(ctx, answer, body)
 	}
-	if c.concluded(ctx, answer, nil) == completeness.Broken {
+	if c.judgeEnd(ctx, answer, nil) == completeness.Broken {
 		return c.brokeOff(ctx, io.EOF)
 	}
 	if !success && answer.Status >= http.StatusInternalServerError && c.mayRepeatError() {
@@ -79,7 +79,7 @@
 	}
 	c.head(answer, int64(len(body)))
 	_, _ = c.w.Write(body)
-	c.completed(answer)
+	c.answerCompleted(answer)
 	if success || answer.Status < http.StatusInternalServerError {
 		return done, health.Success, nil
 	}
@@ -89,38 +89,38 @@
 // mayRepeatError reports whether a server's error should be retried at another server; the
 // last server's error is relayed unchanged.
 func (c *call) mayRepeatError() bool {
-	return c.route.MayRepeat() && c.reached < c.route.Attempts && c.sent < sends && c.left() > c.route.Objective/2 && c.r.otherServer(c)
+	return c.route.MayRepeat() && c.reached < c.route.Attempts && c.sent < maxSends && c.left() > c.route.Objective/2 && c.r.hasOtherServer(c)
 }
 
-// passBytes relays a long answer as it arrives.
-func (c *call) passBytes(ctx context.Context, answer *backend.Answer) (step, health.Result, error) {
+// relayBytes relays a long answer as it arrives.
+func (c *call) relayBytes(ctx context.Context, answer *backend.Answer) (step, health.Result, error) {
 	c.head(answer, answer.Length)
-	return c.passRest(ctx, answer, nil)
+	return c.relayRest(ctx, answer, nil)
 }
 
-func (c *call) passRest(ctx context.Context, answer *backend.Answer, first []byte) (step, health.Result, error) {
+func (c *call) relayRest(ctx context.Context, answer *backend.Answer, first []byte) (step, health.Result, error) {
 	_, _ = c.w.Write(first)
 	buf := make([]byte, relayBuffer)
 	for {
 		n, err := answer.Read(buf)
 		if n > 0 {
 			if _, writeErr := c.w.Write(buf[:n]); writeErr != nil {
-				return c.lostCaller(writeErr)
+				return c.callerLost(writeErr)
 			}
 		}
 		if err == nil {
 			continue
 		}
-		if c.concluded(ctx, answer, nil) == completeness.Broken {
+		if c.judgeEnd(ctx, answer, nil) == completeness.Broken {
 			return c.brokeOff(ctx, err)
 		}
-		c.completed(answer)
+		c.answerCompleted(answer)
 		return done, health.Success, nil
 	}
 }
 
-// passEvents relays whole events as they arrive.
-func (c *call) passEvents(ctx context.Context, answer *backend.Answer, events *eventstream.Follower) (step, health.Result, error) {
+// relayEvents relays whole events as they arrive.
+func (c *call) relayEvents(ctx context.Context, answer *backend.Answer, events *eventstream.Follower) (step, health.Result, error) {
 	events.Restart()
 	flusher := http.NewResponseController(c.w)
 	buf := make([]byte, relayBuffer)
@@ -129,10 +129,10 @@
 		if n > 0 {
 			out, notNext := events.Take(buf[:n])
 			if writeErr := c.forward(flusher, answer, events, out); writeErr != nil {
-				return c.lostCaller(writeErr)
+				return c.callerLost(writeErr)
 			}
 			if notNext != nil {
-				c.concluded(ctx, answer, events)
+				c.judgeEnd(ctx, answer, events)
 				c.logBroken()
 				return c.brokeOff(ctx, notNext)
 			}
@@ -146,14 +146,14 @@
 	}
 }
 
-// leastGather is the shortest delay for which a timer is worth its cost.
-const leastGather = 5 * time.Millisecond
+// minGather is the shortest delay for which a timer is worth its cost.
+const minGather = 5 * time.Millisecond
 
 // gather waits for further events so that several are sent in one write: on small instances
 // each write and wake-up costs more than the event.
 func (c *call) gather(ctx context.Context) {
 	wait := c.r.gatherTime()
-	if wait < leastGather {
+	if wait < minGather {
 		return
 	}
 	timer := time.NewTimer(wait)
@@ -170,7 +170,7 @@
 	}
 	events.PassedOn(time.Now())
 	c.pause = events.Pause()
-	if !c.begun {
+	if !c.answerBegun {
 		c.head(answer, -1)
 	}
 	if _, err := c.w.Write(out); err != nil {
@@ -181,18 +181,18 @@
 
 // streamEnded completes a stream that is whole, or handles one that broke off.
 func (c *call) streamEnded(ctx context.Context, answer *backend.Answer, events *eventstream.Follower, err error) (step, health.Result, error) {
-	if c.concluded(ctx, answer, events) == completeness.Broken {
+	if c.judgeEnd(ctx, answer, events) == completeness.Broken {
 		return c.brokeOff(ctx, err)
 	}
-	if !c.begun {
+	if !c.answerBegun {
 		c.head(answer, -1)
 	}
 	_, _ = c.w.Write(events.Rest())
-	c.completed(answer)
+	c.answerCompleted(answer)
 	return done, health.Success, nil
 }
 
-func (c *call) lostCaller(err error) (step, health.Result, error) {
+func (c *call) callerLost(err error) (step, health.Result, error) {
 	c.logEnd("caller_lost: "+err.Error(), 0, 0)
 	c.r.metrics.outcomes.Add("caller_lost", 1)
 	c.closeConnection()
@@ -214,13 +214,13 @@
 		h["Content-Type"] = nil
 	}
 	c.keepAlive()
-	c.begun, c.toldBy = true, c.framingTold(length)
+	c.answerBegun, c.callerFraming = true, c.framingFor(length)
 	c.w.WriteHeader(answer.Status)
 }
 
-// completed finishes an answer that was written whole.
-func (c *call) completed(answer *backend.Answer) {
-	c.told = toldWhole
+// answerCompleted finishes an answer that was written whole.
+func (c *call) answerCompleted(answer *backend.Answer) {
+	c.delivered = deliveredWhole
 	c.r.metrics.completed(c)
 	if c.tokens > 0 && answer.Status < http.StatusBadRequest {
 		c.r.teams.Count(func(t *teamuse.Table) { t.Delivered(c.team, c.tokens) })
@@ -228,9 +228,9 @@
 	c.logCompleted(answer.Status)
 }
 
-// otherServer reports whether the service has a server that the call has not tried and that
+// hasOtherServer reports whether the service has a server that the call has not tried and that
 // accepts requests.
-func (r *Router) otherServer(c *call) bool {
+func (r *Router) hasOtherServer(c *call) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admission.HasOther(time.Now(), c.service, c.avoid)
--- a/transport/direct/reload.go
+++ b/transport/direct/reload.go
@@ -35,7 +35,7 @@
 
 // Write implements io.Writer.
 func (e errorLines) Write(line []byte) (int, error) {
-	if allowed, dropped := e.r.lines.Allow("http_server", time.Now()); allowed {
+	if allowed, dropped := e.r.completedLines.Allow("http_server", time.Now()); allowed {
 		e.r.event("http_server", "text", strings.TrimSpace(string(line)), "left_out", dropped)
 	}
 	return len(line), nil
--- a/transport/direct/router.go
+++ b/transport/direct/router.go
@@ -39,58 +39,58 @@
 	set settings.Direct
 	cfg Config
 	log log.Logger
-	// lines limits the log lines about answers that were whole, attempts those about abandoned
-	// attempts, and failures all others.
-	lines    *observe.LineLimit
-	attempts *observe.LineLimit
-	failures *observe.LineLimit
-	dialect  Dialect
-	source   Source
-	pool     *backend.Pool
-	metrics  *metrics
-	tracer   *observe.Tracer
-	table    atomic.Pointer[routing.Table]
+	// completedLines limits the log lines about answers that were whole, attemptLines those
+	// about abandoned attempts, and failureLines all others.
+	completedLines *observe.LineLimit
+	attemptLines   *observe.LineLimit
+	failureLines   *observe.LineLimit
+	dialect        Dialect
+	source         Source
+	pool           *backend.Pool
+	metrics        *metrics
+	tracer         *observe.Tracer
+	table          atomic.Pointer[routing.Table]
 
-	// mu guards the state below, down to returning.
+	// mu guards the fields from admission to returning.
 	mu        sync.Mutex
 	admission *admission.State
 	roster    *roster.Roster
 	budgets   map[string]*repeats.Budget
 	fresh     *freshness.Tracker
-	// quarantine tracks which requests crash servers; suspected wakes the teller when there
+	// quarantine tracks which requests crash servers; reportsReady wakes the gossiper when there
 	// are new reports to send.
-	quarantine *quarantine.State
-	suspected  chan struct{}
+	quarantine   *quarantine.State
+	reportsReady chan struct{}
 	// warmup limits the load of cold servers; member is the period in which this router's
 	// registration is certain to be valid.
 	warmup  *warmup.State
 	member  membership
 	servers map[string]roster.Server
 	peers   map[string]mirror.Registration
-	// peersChanged tells the teller to read peers again.
+	// peersChanged tells the gossiper to read peers again.
 	peersChanged bool
-	// heard holds the sequence number of the last message from each other router, and witness
+	// lastSeqs holds the sequence number of the last message from each other router, and witness
 	// the times of this router's own messages.
-	heard   map[string]uint32
-	witness freshness.Witness
+	lastSeqs map[string]uint32
+	witness  freshness.Witness
 	// fleet decides to which routers this router's digests are sent.
-	fleet *telling.Fleet
-	vouch vouching
-	// toldAt is when a new confirmation by the store came last, to another router or to this
-	// one, by the clock of bootTime. toldOf is the time for which the newest confirmation of
+	fleet            *telling.Fleet
+	lastConfirmation confirmation
+	// confirmedAt is when a new confirmation by the store came last, to another router or to this
+	// one, by the clock of bootTime. confirmedFor is the time for which the newest confirmation of
 	// the other routers holds.
-	toldAt, toldOf time.Duration
-	// lostAt is when the store stopped answering this router, by the clock of bootTime.
-	lostAt time.Duration
-	// wanted wakes the task that queries the store: a request waits for more recent
+	confirmedAt, confirmedFor time.Duration
+	// storeLostAt is when the store stopped answering this router, by the clock of bootTime.
+	storeLostAt time.Duration
+	// infoWanted wakes the task that queries the store: a request waits for more recent
 	// information.
-	wanted chan struct{}
-	// vouched wakes the teller when the store has answered anew.
-	vouched chan struct{}
-	// passing holds the changes that are sent with the next message.
-	passing passing
+	infoWanted chan struct{}
+	// storeConfirmed wakes the gossiper when the store has answered anew.
+	storeConfirmed chan struct{}
+	// attached holds the changes that are sent with the next message.
+	attached attachedChanges
 	// pending is a revision that another router confirmed as current and this router has not
-	// reached yet; behind wakes the task that reads it.
+	// reached yet; catchUpNeeded wakes the task that reads it.
 	pending struct {
 		at       time.Duration
 		revision uint64
@@ -100,23 +100,23 @@
 	mirror mirror.Mirror
 	// answers caches the last answer to other routers.
 	answers packedAnswers
-	// noted holds the revisions at which invalid entries were logged, by key.
-	noted     map[string]uint64
-	behind    chan struct{}
-	returning *returning.Tracker
+	// loggedInvalid holds the revisions at which invalid entries were logged, by key.
+	loggedInvalid map[string]uint64
+	catchUpNeeded chan struct{}
+	returning     *returning.Tracker
 
 	probes *probes
 	load   load
-	// cutSince is the time since which the store has not answered this router, by the clock of
-	// bootTime; 0 while it answers.
-	cutSince atomic.Int64
-	unready  atomic.Bool
-	leaving  atomic.Bool
-	held     atomic.Int64
-	ending   context.Context
-	end      context.CancelFunc
-	abort    chan struct{}
-	callers  *callerconn.Set
+	// storeSilentSince is the time since which the store has not answered this router, by the
+	// clock of bootTime; 0 while it answers.
+	storeSilentSince atomic.Int64
+	unready          atomic.Bool
+	shuttingDown     atomic.Bool
+	inFlight         atomic.Int64
+	ending           context.Context
+	end              context.CancelFunc
+	abort            chan struct{}
+	callers          *callerconn.Set
 	// teams counts what each team requests from this router and receives.
 	teams *teamlog.Recorder
 	// gate decides which new connections are read.
@@ -129,35 +129,35 @@
 	ending, end := context.WithCancel(context.Background())
 	r := &Router{
 		set: set, cfg: cfg, log: logger, dialect: dialect, source: source,
-		pool:       backend.NewPool(cfg.Backend),
-		tracer:     observe.NoTracer(),
-		admission:  admission.New(cfg.Admission),
-		roster:     roster.New(cfg.Roster),
-		budgets:    make(map[string]*repeats.Budget),
-		fresh:      freshness.New(cfg.Freshness),
-		servers:    make(map[string]roster.Server),
-		peers:      make(map[string]mirror.Registration),
-		heard:      make(map[string]uint32),
-		fleet:      telling.New(telling.DefaultConfig(), set.ID, digest.DataCentreOf(set.DataCentre)),
-		noted:      make(map[string]uint64),
-		behind:     make(chan struct{}, 1),
-		vouched:    make(chan struct{}, 1),
-		wanted:     make(chan struct{}, 1),
-		suspected:  make(chan struct{}, 1),
-		probes:     newProbes(),
-		warmup:     warmup.New(cfg.Warmup, set.ID),
-		quarantine: quarantine.New(cfg.Quarantine, set.ID),
-		returning:  returning.New(returning.DefaultConfig()),
-		ending:     ending, end: end, abort: make(chan struct{}), callers: callerconn.NewSet(),
+		pool:           backend.NewPool(cfg.Backend),
+		tracer:         observe.NoTracer(),
+		admission:      admission.New(cfg.Admission),
+		roster:         roster.New(cfg.Roster),
+		budgets:        make(map[string]*repeats.Budget),
+		fresh:          freshness.New(cfg.Freshness),
+		servers:        make(map[string]roster.Server),
+		peers:          make(map[string]mirror.Registration),
+		lastSeqs:       make(map[string]uint32),
+		fleet:          telling.New(telling.DefaultConfig(), set.ID, digest.DataCentreOf(set.DataCentre)),
+		loggedInvalid:  make(map[string]uint64),
+		catchUpNeeded:  make(chan struct{}, 1),
+		storeConfirmed: make(chan struct{}, 1),
+		infoWanted:     make(chan struct{}, 1),
+		reportsReady:   make(chan struct{}, 1),
+		probes:         newProbes(),
+		warmup:         warmup.New(cfg.Warmup, set.ID),
+		quarantine:     quarantine.New(cfg.Quarantine, set.ID),
+		returning:      returning.New(returning.DefaultConfig()),
+		ending:         ending, end: end, abort: make(chan struct{}), callers: callerconn.NewSet(),
 	}
 	r.admission.SetWarmup(r.warmup)
 	r.load.rotation = rotation.New(rotation.DefaultConfig())
 	r.metrics = newMetrics(r)
 	r.teams = teamlog.New(set.DataCentre, r.metrics.vars, r.event, r.teamStanding)
-	r.gate = callergate.New(intake.DefaultConfig(), r.teams.TeamOf, r.isBeyond, r.closedUnread)
-	r.lines = observe.NewLineLimit(r.metrics.dropped)
-	r.failures = observe.NewLineLimitOf(r.metrics.dropped, failureLines)
-	r.attempts = observe.NewLineLimitOf(r.metrics.dropped, abandonedLines)
+	r.gate = callergate.New(intake.DefaultConfig(), r.teams.TeamOf, r.exceedsShare, r.recordUnreadClose)
+	r.completedLines = observe.NewLineLimit(r.metrics.dropped)
+	r.failureLines = observe.NewLineLimitOf(r.metrics.dropped, failureLogLimit)
+	r.attemptLines = observe.NewLineLimitOf(r.metrics.dropped, abandonedLogLimit)
 	return r
 }
 
@@ -199,9 +199,9 @@
 	go r.follow(ctx)
 	go r.sweep(ctx)
 	go r.register(ctx)
-	go r.keepQuarantine(ctx)
+	go r.syncQuarantine(ctx)
 	go func() { _ = observe.Server(r.healthHandler()).Serve(health) }()
-	if err := r.exchange(ctx); err != nil {
+	if err := r.startGossip(ctx); err != nil {
 		return errors.Wrap(err, "listen.peers")
 	}
 	if r.set.Listen.Metrics != "" {
@@ -212,13 +212,13 @@
 		go func() { _ = observe.Server(r.metricsHandler()).Serve(metrics) }()
 	}
 	go func() {
-		_ = srv.Serve(callerconn.NewListener(callers.(*net.TCPListener), mostConnections(r.set), r.gate))
+		_ = srv.Serve(callerconn.NewListener(callers.(*net.TCPListener), maxConnections(r.set), r.gate))
 	}()
 	go r.watchLoad(ctx)
 	go r.teams.Run(ctx)
 	r.event("serving", "callers", r.set.Listen.Callers)
 	<-stop
-	r.leave(srv)
+	r.shutDown(srv)
 	return nil
 }
 
--- a/transport/direct/runs.go
+++ b/transport/direct/runs.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// replied processes the head of the answer to a request.
-func (r *Router) replied(run *admission.Run, reply Reply, request string) {
+// handleReply processes the head of the answer to a request.
+func (r *Router) handleReply(run *admission.Run, reply Reply, request string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -43,20 +43,20 @@
 	case reply.OtherServer:
 		r.admission.Refused(now, run)
 	case reply.RetryAfter > 0:
-		r.backsOff(now, run, reply.RetryAfter, request)
+		r.recordBackoff(now, run, reply.RetryAfter, request)
 	case reply.NotRun:
 		r.admission.Refused(now, run)
 	}
 	if !reply.NotRun && !reply.OtherServer && r.admission.FirstByte(now, run) {
-		r.resumed(now, run)
+		r.logBackoffEnded(now, run)
 	}
 	if reply.Load.Slots > 0 {
 		r.admission.Reported(now, run, reply.Load)
 	}
 }
 
-// generated records the length of a complete answer.
-func (r *Router) generated(run *admission.Run, tokens int) {
+// recordGenerated records the length of a complete answer.
+func (r *Router) recordGenerated(run *admission.Run, tokens int) {
 	if tokens == 0 {
 		return
 	}
--- a/transport/direct/serve.go
+++ b/transport/direct/serve.go
@@ -31,9 +31,9 @@
 	service string
 	team    string
 	body    []byte
-	// content is the fingerprint of the request, equal for every attempt of the caller; 0
+	// fingerprint is the fingerprint of the request, equal for every attempt of the caller; 0
 	// until the body is read.
-	content quarantine.Fingerprint
+	fingerprint quarantine.Fingerprint
 	// received is when the request arrived, whether or not it was read at once.
 	received time.Time
 	// unread is how long it waited unread at this router.
@@ -57,29 +57,29 @@
 	last    admission.Decision
 	// tokens is the size of the request; 0 for plain services.
 	tokens float64
-	// counted tells that the request was counted as started for its team.
-	counted bool
-	// begun tells that a part of the answer was relayed.
-	begun bool
+	// countedStarted tells that the request was counted as started for its team.
+	countedStarted bool
+	// answerBegun tells that a part of the answer was relayed.
+	answerBegun bool
 	// server is the one that the request was last sent to.
 	server roster.Server
 	// answer is how the last answer of a server ended; nil before the first one.
 	answer *answerEnd
-	// told is the form in which the caller received the answer, and toldBy its framing; both
-	// are empty before the answer started.
-	told, toldBy string
+	// delivered is the form in which the caller received the answer, and callerFraming its
+	// framing; both are empty before the answer started.
+	delivered, callerFraming string
 }
 
 // serve handles one request until its final answer.
 func (r *Router) serve(w http.ResponseWriter, req *http.Request) {
-	r.held.Add(1)
-	defer r.held.Add(-1)
+	r.inFlight.Add(1)
+	defer r.inFlight.Add(-1)
 	r.metrics.requests.Add(1)
 	traced, span := r.tracer.Start(r.tracer.Enter(req.Context(), req.Header.Get("Traceparent")), observe.SpanReceive, trace.SpanKindServer)
 	defer span.End()
 	req = req.WithContext(traced)
 	c := &call{r: r, w: w, req: req, meta: r.dialect.Meta(req.Header), received: time.Now()}
-	c.unread = c.lay()
+	c.unread = c.unreadTime()
 	c.received = c.received.Add(-c.unread)
 	if r.unready.Load() {
 		// Idle connections stay open until the end: closing one while a caller sends on it
@@ -90,7 +90,7 @@
 		c.refuse(*o)
 		return
 	}
-	if c.isSwept() || c.hasLeft() {
+	if c.isSwept() || c.hasDisconnected() {
 		c.callerLeft()
 		return
 	}
@@ -107,15 +107,15 @@
 	return &o
 }
 
-// lay returns how long the request waited unread at this router: as the kernel reports it or,
-// if it reports nothing, since the connection was accepted, limited to what the router's
-// lateness explains, as a caller may open its connection before it needs it. A router that is
-// not late reads later requests of a connection at once.
-func (c *call) lay() time.Duration {
+// unreadTime returns how long the request waited unread at this router: as the kernel reports
+// it or, if it reports nothing, since the connection was accepted, limited to what the
+// router's lateness explains, as a caller may open its connection before it needs it. A router
+// that is not late reads later requests of a connection at once.
+func (c *call) unreadTime() time.Duration {
 	if !c.r.isLate() && !c.r.callers.IsFirst(c.conn()) {
 		return 0
 	}
-	late := unreadPerLate * time.Duration(c.r.load.late.Load())
+	late := unreadPerLate * time.Duration(c.r.load.meanLateness.Load())
 	return max(callerconn.SinceData(c.conn()), min(c.r.callers.SinceAccepted(c.conn(), c.received), late))
 }
 
@@ -129,18 +129,18 @@
 	r := c.r
 	c.table = r.table.Load()
 	if c.table == nil {
-		return notRun(outcome.ReasonNoConfig, staleReturn, "no configuration yet")
+		return notRun(outcome.ReasonNoConfig, staleRetryAfter, "no configuration yet")
 	}
 	if o := c.identify(); o != nil {
 		return o
 	}
-	if r.leaving.Load() && (c.route.Kind == routing.Streaming || r.load.held() == 0) {
+	if r.shuttingDown.Load() && (c.route.Kind == routing.Streaming || r.load.openStreams() == 0) {
 		// A stream may outlast the process. Short requests are served only while streams keep
 		// the process running.
-		return notRun(outcome.ReasonLeaving, staleReturn, "this router is leaving")
+		return notRun(outcome.ReasonLeaving, staleRetryAfter, "this router is leaving")
 	}
 	if r.ending.Err() != nil {
-		return notRun(outcome.ReasonLeaving, staleReturn, "this router is leaving")
+		return notRun(outcome.ReasonLeaving, staleRetryAfter, "this router is leaving")
 	}
 	c.deadline = c.received.Add(c.timeLeft())
 	if c.left() <= 0 {
@@ -153,7 +153,7 @@
 		return o
 	}
 	_ = rc.SetReadDeadline(time.Time{})
-	c.content = quarantine.Of(c.team, c.req.Method, c.req.Host, c.req.RequestURI, c.body)
+	c.fingerprint = quarantine.Of(c.team, c.req.Method, c.req.Host, c.req.RequestURI, c.body)
 	c.service = c.route.Pick(rand.Float64())
 	c.elapsed = r.elapsed(c)
 	return nil
@@ -163,35 +163,35 @@
 func (c *call) identify() *outcome.Outcome {
 	c.route = c.table.Route(c.req.Host, c.req.URL.Path)
 	if c.route == nil {
-		return c.unknown(outcome.ReasonUnknownPath, http.StatusNotFound, "no route for this host and path")
+		return c.refuseUnknown(outcome.ReasonUnknownPath, http.StatusNotFound, "no route for this host and path")
 	}
 	if c.route.Public || c.table.Teams() == 0 {
 		return nil
 	}
 	team := c.table.Team(c.meta.Key)
 	if team == nil {
-		return c.unknown(outcome.ReasonUnauthorized, http.StatusUnauthorized, "no team has this key")
+		return c.refuseUnknown(outcome.ReasonUnauthorized, http.StatusUnauthorized, "no team has this key")
 	}
 	c.team = team.Name
-	c.r.teams.Seen(c.from(), c.team)
+	c.r.teams.Seen(c.callerAddress(), c.team)
 	if !c.r.isFresh() {
-		return c.stale()
+		return c.refuseStale()
 	}
 	return nil
 }
 
-// unknown refuses a request that does not match the configuration; if a newer configuration
+// refuseUnknown refuses a request that does not match the configuration; if a newer configuration
 // may exist, the caller is asked to retry instead.
-func (c *call) unknown(reason outcome.Reason, status int, detail string) *outcome.Outcome {
+func (c *call) refuseUnknown(reason outcome.Reason, status int, detail string) *outcome.Outcome {
 	if !c.r.isFresh() {
-		return c.stale()
+		return c.refuseStale()
 	}
 	o := outcome.Refuse(reason, status, 0, detail)
 	return &o
 }
 
-func (c *call) stale() *outcome.Outcome {
-	return notRun(outcome.ReasonPlatform, staleReturn, "the configuration cannot be shown to be current")
+func (c *call) refuseStale() *outcome.Outcome {
+	return notRun(outcome.ReasonPlatform, staleRetryAfter, "the configuration cannot be shown to be current")
 }
 
 // timeLeft returns the maximum time that the caller may be kept waiting.
@@ -283,6 +283,6 @@
 func (r *Router) elapsed(c *call) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	late := unreadPerLate * time.Duration(r.load.late.Load())
+	late := unreadPerLate * time.Duration(r.load.meanLateness.Load())
 	return r.returning.Elapsed(c.received, c.route.Name, c.meta.TimeLeft, late)
 }
--- a/transport/direct/sync.go
+++ b/transport/direct/sync.go
@@ -16,17 +16,17 @@
 )
 
 // confirm adopts a newer configuration and records when it was confirmed as current.
-func (r *Router) confirm(c *routing.Config, sent time.Duration, v vouching) {
-	r.take(c)
+func (r *Router) confirm(c *routing.Config, sent time.Duration, v confirmation) {
+	r.adoptIfPresent(c)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.vouch, r.toldAt = v, bootTime()
+	r.lastConfirmation, r.confirmedAt = v, bootTime()
 	if r.table.Load() != nil {
 		r.fresh.Confirm(sent)
 	}
-	r.reached()
+	r.confirmPending()
 	select {
-	case r.vouched <- struct{}{}:
+	case r.storeConfirmed <- struct{}{}:
 	default:
 	}
 }
@@ -41,7 +41,7 @@
 	r.mu.Lock()
 	r.admission.SetCapacity(c.Limits.TokensPerSecond)
 	for _, s := range c.Services {
-		r.admission.SetService(s.Name, traits(c, s))
+		r.admission.SetService(s.Name, serviceTraits(c, s))
 		r.warmup.SetService(s.Name, warmup.Service{Rate: s.ColdRate, ColdFor: s.ColdFor})
 	}
 	r.mu.Unlock()
@@ -49,8 +49,8 @@
 		"tokens_per_second", c.Limits.TokensPerSecond)
 }
 
-// traits returns the properties of a service that the admission uses.
-func traits(c *routing.Config, s routing.Service) admission.Traits {
+// serviceTraits returns the properties of a service that the admission uses.
+func serviceTraits(c *routing.Config, s routing.Service) admission.Traits {
 	return admission.Traits{Engine: s.Engine.Slots > 0, FetchRate: s.Engine.FetchRate(), Objective: c.ShortestObjective(s.Name)}
 }
 
@@ -63,14 +63,14 @@
 		return
 	}
 	before := r.mirror.Evacuated()
-	r.warm(s.Servers)
+	r.recordColdServers(s.Servers)
 	r.mirror.Replace(s)
 	r.evacuate(before)
 	r.apply(r.roster.Replace(time.Now(), s.Servers))
-	r.invalidate(s.Invalid)
+	r.handleInvalid(s.Invalid)
 	r.peers = s.Routers
 	r.countRouters()
-	r.takeStored(s.Refused)
+	r.applyStored(s.Refused)
 }
 
 // update applies changes. They are complete up to their revision, so they include what other
@@ -82,7 +82,7 @@
 		return
 	}
 	before := r.mirror.Evacuated()
-	r.warm(d.Servers)
+	r.recordColdServers(d.Servers)
 	r.mirror.Update(d)
 	r.evacuate(before)
 	for _, one := range d.Servers {
@@ -91,7 +91,7 @@
 	for _, id := range d.Removed {
 		r.apply(r.roster.Remove(time.Now(), id))
 	}
-	r.invalidate(d.Invalid)
+	r.handleInvalid(d.Invalid)
 	for id, one := range d.Joined {
 		r.peers[id] = one
 	}
@@ -99,7 +99,7 @@
 		delete(r.peers, id)
 	}
 	r.countRouters()
-	r.takeStored(d.Refused)
+	r.applyStored(d.Refused)
 }
 
 // evacuate applies the operators' evacuations of data centres; before are those that were in
@@ -145,7 +145,7 @@
 			r.admission.SetDataCentre(c.Server.ID, c.Server.DataCentre)
 		} else {
 			delete(r.servers, c.Server.ID)
-			r.gone(c)
+			r.serverGone(c)
 			r.admission.Remove(c.Server.ID)
 			r.pool.Left(c.Server.Identity())
 			go r.pool.Forget(c.Server.Identity())
@@ -156,7 +156,7 @@
 
 // sweep closes idle connections and removes lapsed servers periodically.
 func (r *Router) sweep(ctx context.Context) {
-	each(ctx, sweepEvery, func(now time.Time) {
+	runEvery(ctx, sweepInterval, func(now time.Time) {
 		r.pool.Sweep(now)
 		r.sweepCallers(now)
 		r.mu.Lock()
@@ -165,12 +165,12 @@
 		r.admission.Tick(now)
 		r.warmup.Tick(now)
 		r.quarantine.Tick(now)
-		r.noteQuarantine()
+		r.handleQuarantineEvents()
 	})
 }
 
-// each calls duty once per period until ctx ends.
-func each(ctx context.Context, period time.Duration, duty func(now time.Time)) {
+// runEvery calls duty once per period until ctx ends.
+func runEvery(ctx context.Context, period time.Duration, duty func(now time.Time)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
@@ -193,7 +193,7 @@
 		got, err := r.source.Register(call, r.set.ID, r.set.Listen.Peers, lease, registerTTL)
 		cancel()
 		if err == nil {
-			r.renewed(sent, lease == "")
+			r.recordRenewal(sent, lease == "")
 			lease = got
 		} else {
 			r.metrics.storeErrors.Add(1)
@@ -205,7 +205,7 @@
 			continue
 		}
 		select {
-		case <-time.After(registerEvery):
+		case <-time.After(registerInterval):
 		case <-ctx.Done():
 		}
 	}
@@ -222,7 +222,7 @@
 	if t := r.table.Load(); t != nil && t.Limits().IdleTimeout > 0 {
 		limit = t.Limits().IdleTimeout + idleSlack
 	}
-	if closed := r.callers.Sweep(now, limit, mostKept(r.set)); closed > 0 {
+	if closed := r.callers.Sweep(now, limit, maxKeptConnections(r.set)); closed > 0 {
 		r.metrics.closedIdle.Add(int64(closed))
 	}
 }
--- a/transport/direct/teams.go
+++ b/transport/direct/teams.go
@@ -8,8 +8,8 @@
 	"goldcrestport/transport/teamlog"
 )
 
-// ask counts the request as its team's demand, whatever its outcome.
-func (c *call) ask() {
+// countDemand counts the request as its team's demand, whatever its outcome.
+func (c *call) countDemand() {
 	c.r.mu.Lock()
 	c.tokens = c.r.admission.CountDemand(time.Now(), admission.Request{Service: c.service, Team: c.team, Class: c.route.Name, Prompt: c.meta.Prompt, Output: c.meta.Output})
 	c.r.mu.Unlock()
@@ -18,9 +18,9 @@
 	}
 }
 
-// closedUnread records that a connection was closed before anything was read from it: its team
-// requested something that it did not receive.
-func (r *Router) closedUnread(team string) {
+// recordUnreadClose records that a connection was closed before anything was read from it: its
+// team requested something that it did not receive.
+func (r *Router) recordUnreadClose(team string) {
 	r.metrics.shed.Add(1)
 	r.teams.Count(func(t *teamuse.Table) { t.Unread(team) })
 	if team != teamuse.Unknown {
@@ -30,8 +30,8 @@
 	}
 }
 
-// isBeyond reports whether the team has received more than its share.
-func (r *Router) isBeyond(team string) bool { return r.teamStanding(team).Share > 1 }
+// exceedsShare reports whether the team has received more than its share.
+func (r *Router) exceedsShare(team string) bool { return r.teamStanding(team).Share > 1 }
 
 // teamStanding returns the team's standing among all teams, as far as this router knows: its
 // share relative to what it has received, and the max-min fair share level.
--- a/transport/direct/tell.go
+++ b/transport/direct/tell.go
@@ -13,25 +13,25 @@
 	"goldcrestport/protocol/digest"
 )
 
-// vouching is this router's last answer from the store, for the other routers.
-type vouching struct {
-	// heard holds the sequence number of each router's last message before the store was
+// confirmation is this router's last answer from the store, for the other routers.
+type confirmation struct {
+	// lastSeqs holds the sequence number of each router's last message before the store was
 	// queried.
-	heard    map[string]uint32
+	lastSeqs map[string]uint32
 	revision uint64
 }
 
-// teller is the task that sends this router's digests.
-type teller struct {
+// gossiper is the task that sends this router's digests.
+type gossiper struct {
 	r    *Router
 	conn *net.UDPConn
 	// seq starts at a random number, so that messages about an earlier incarnation of this
 	// router are not taken for messages about this one.
 	seq uint32
 	buf []byte
-	// crossing is the buffer of an encoded message to forward.
-	crossing     []byte
-	nextAll      time.Time
+	// forwardBuf is the buffer of an encoded message to forward.
+	forwardBuf   []byte
+	nextFull     time.Time
 	nextTeams    time.Time
 	destinations map[string]netip.AddrPort
 	// watchers are the destinations that query the store; watches tells that this router does.
@@ -39,87 +39,88 @@
 	watches  bool
 	// period is the interval between digests.
 	period time.Duration
-	// told is when the last digest was sent, warned when new crash reports were last sent, and
-	// stood when the periodic reports were.
-	told, warned, stood time.Time
+	// digestSent is when the last digest was sent, reportsSent when new crash reports were
+	// last sent, and repeatsSent when the periodic reports were.
+	digestSent, reportsSent, repeatsSent time.Time
 }
 
 // run sends digests periodically and whenever the store has answered anew, and heartbeats in
 // between to the routers that query the store.
-func (t *teller) run(ctx context.Context) {
+func (t *gossiper) run(ctx context.Context) {
 	for {
-		t.period = max(tellEvery, time.Duration(len(t.destinations))*time.Second/tellBudget)
+		t.period = max(digestInterval, time.Duration(len(t.destinations))*time.Second/digestBudget)
 		t.r.setPeriod(t.period)
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.r.vouched:
-			t.tell(time.Now(), true)
-		case <-t.r.suspected:
-		case now := <-time.After(min(t.period, greetEvery)):
-			if now.Sub(t.told) >= t.period {
-				t.tell(now, t.watches)
+		case <-t.r.storeConfirmed:
+			t.sendDigest(time.Now(), true)
+		case <-t.r.reportsReady:
+		case now := <-time.After(min(t.period, heartbeatInterval)):
+			if now.Sub(t.digestSent) >= t.period {
+				t.sendDigest(now, t.watches)
 			} else {
-				t.greet()
+				t.sendHeartbeat()
 			}
 		}
-		t.warn(time.Now())
+		t.sendCrashReports(time.Now())
 	}
 }
 
-// greet sends a heartbeat (a message without a digest) to the routers that query the store.
-func (t *teller) greet() {
+// sendHeartbeat sends a heartbeat (a message without a digest) to the routers that query the
+// store.
+func (t *gossiper) sendHeartbeat() {
 	r := t.r
 	r.mu.Lock()
-	t.number()
+	t.nextSeq()
 	r.mu.Unlock()
 	t.buf = digest.Append(t.buf[:0], digest.Message{
-		Router: r.set.ID, Seq: t.seq, DataCentre: digest.DataCentreOf(r.set.DataCentre), PassesOn: r.passesOn(), Rotation: r.rotationWord(time.Now()),
+		Router: r.set.ID, Seq: t.seq, DataCentre: digest.DataCentreOf(r.set.DataCentre), PassesOn: r.offersForwarding(), Rotation: r.rotationMessage(time.Now()),
 	})
 	for id, to := range t.watchers {
-		t.send(id, to, vouching{})
+		t.send(id, to, confirmation{})
 	}
 }
 
-// passesOn reports whether this router offers to forward messages: a router that reads late
-// would delay them.
-func (r *Router) passesOn() bool { return !r.load.saturated.Load() && !r.leaving.Load() }
+// offersForwarding reports whether this router offers to forward messages: a router that reads
+// late would delay them.
+func (r *Router) offersForwarding() bool { return !r.load.saturated.Load() && !r.shuttingDown.Load() }
 
-// number assigns the next message its sequence number. The caller holds the router's lock.
-func (t *teller) number() {
+// nextSeq assigns the next message its sequence number. The caller holds the router's lock.
+func (t *gossiper) nextSeq() {
 	t.seq = max(t.seq+1, 1)
 	t.r.witness.Sent(t.seq, bootTime())
 }
 
 // send sends the encoded message to one router.
-func (t *teller) send(id string, to netip.AddrPort, vouch vouching) {
-	digest.SetHeard(t.buf, vouch.heard[id], vouch.revision)
+func (t *gossiper) send(id string, to netip.AddrPort, confirmed confirmation) {
+	digest.SetHeard(t.buf, confirmed.lastSeqs[id], confirmed.revision)
 	if _, err := t.conn.WriteToUDPAddrPort(t.buf, to); err != nil {
 		t.r.metrics.peerErrors.Add(1)
 	}
 }
 
-// tell sends one digest to every other router. One that confirms the store's revision is sent
-// through more than one router of each other data centre.
-func (t *teller) tell(now time.Time, vouches bool) {
-	m := digest.Message{Router: t.r.set.ID, DataCentre: digest.DataCentreOf(t.r.set.DataCentre), PassesOn: t.r.passesOn(), Rotation: t.r.rotationWord(now)}
-	all, teams := !now.Before(t.nextAll), !now.Before(t.nextTeams)
+// sendDigest sends one digest to every other router. One that confirms the store's revision is
+// sent through more than one router of each other data centre.
+func (t *gossiper) sendDigest(now time.Time, confirms bool) {
+	m := digest.Message{Router: t.r.set.ID, DataCentre: digest.DataCentreOf(t.r.set.DataCentre), PassesOn: t.r.offersForwarding(), Rotation: t.r.rotationMessage(now)}
+	all, teams := !now.Before(t.nextFull), !now.Before(t.nextTeams)
 	if all {
-		t.nextAll = now.Add(allEvery)
+		t.nextFull = now.Add(fullDigestInterval)
 	}
 	if teams {
-		t.nextTeams = now.Add(teamsEvery)
+		t.nextTeams = now.Add(teamsInterval)
 	}
-	t.told = now
+	t.digestSent = now
 	r := t.r
 	r.mu.Lock()
-	t.addresses()
+	t.updateDestinations()
 	m.Digest = r.admission.Digest(now, all, teams)
-	m.Digest.ShuttingDown = r.leavingServers()
-	vouch := r.vouch
-	plan := t.plan(now, vouches)
-	m.Changes, m.After = r.passing.take()
-	t.number()
+	m.Digest.ShuttingDown = r.drainingServers()
+	confirmed := r.lastConfirmation
+	plan := t.planRound(now, confirms)
+	m.Changes, m.After = r.attached.takeAll()
+	t.nextSeq()
 	r.mu.Unlock()
 	m.Seq = t.seq
 	t.buf = digest.Append(t.buf[:0], m)
@@ -128,41 +129,41 @@
 		t.buf = digest.Append(t.buf[:0], m)
 	}
 	for _, id := range plan.Direct {
-		t.send(id, t.destinations[id], vouch)
+		t.send(id, t.destinations[id], confirmed)
 	}
 	for _, crossing := range plan.Crossings {
-		t.cross(crossing, vouch)
+		t.sendAcross(crossing, confirmed)
 	}
 }
 
-// plan returns who gets the next digest. The caller holds the router's lock.
-func (t *teller) plan(now time.Time, vouches bool) telling.Plan {
+// planRound returns who gets the next digest. The caller holds the router's lock.
+func (t *gossiper) planRound(now time.Time, confirms bool) telling.Plan {
 	round := telling.Round{Period: t.period, Copies: 1, Direct: func(id string) bool { _, ok := t.watchers[id]; return ok }}
-	if vouches {
-		round.Copies = vouchCopies
+	if confirms {
+		round.Copies = confirmationCopies
 	}
 	return t.r.fleet.Next(now, slices.Collect(maps.Keys(t.destinations)), round)
 }
 
-// cross sends the encoded message to another data centre.
-func (t *teller) cross(crossing telling.Crossing, vouch vouching) {
-	p := digest.PassOn{Revision: vouch.revision, Heard: make(map[digest.Router]uint32, len(crossing.To)), Message: t.buf}
+// sendAcross sends the encoded message to another data centre.
+func (t *gossiper) sendAcross(crossing telling.Crossing, confirmed confirmation) {
+	p := digest.PassOn{Revision: confirmed.revision, Heard: make(map[digest.Router]uint32, len(crossing.To)), Message: t.buf}
 	for _, id := range crossing.To {
-		if seq := vouch.heard[id]; seq != 0 {
+		if seq := confirmed.lastSeqs[id]; seq != 0 {
 			p.Heard[digest.RouterOf(id)] = seq
 		}
 	}
-	t.crossing = digest.AppendPassOn(t.crossing[:0], p)
+	t.forwardBuf = digest.AppendPassOn(t.forwardBuf[:0], p)
 	for _, id := range crossing.By {
-		if _, err := t.conn.WriteToUDPAddrPort(t.crossing, t.destinations[id]); err != nil {
+		if _, err := t.conn.WriteToUDPAddrPort(t.forwardBuf, t.destinations[id]); err != nil {
 			t.r.metrics.peerErrors.Add(1)
 		}
 	}
 }
 
-// addresses updates the destinations to the routers that are registered now. The caller holds
-// the router's lock.
-func (t *teller) addresses() {
+// updateDestinations updates the destinations to the routers that are registered now. The
+// caller holds the router's lock.
+func (t *gossiper) updateDestinations() {
 	if t.r.peersChanged {
 		t.r.peersChanged = false
 		clear(t.destinations)
--- a/transport/direct/trail.go
+++ b/transport/direct/trail.go
@@ -10,30 +10,30 @@
 	"goldcrestport/transport/observe"
 )
 
-// failureLines is the limit of log lines per second about requests that were refused, failed
+// failureLogLimit is the limit of log lines per second about requests that were refused, failed
 // or went to another server. At ordinary rates no line is dropped.
-const failureLines = 100
+const failureLogLimit = 100
 
 // logEnd logs a request that ended without a whole answer.
 func (c *call) logEnd(why string, status int, after time.Duration) {
-	c.line(c.r.failures, "request_ended", "why", why, "status", status, "retry_after_ms", after.Milliseconds())
+	c.line(c.r.failureLines, "request_ended", "why", why, "status", status, "retry_after_ms", after.Milliseconds())
 }
 
 // logCompleted logs a request that was answered.
 func (c *call) logCompleted(status int) {
-	limit := c.r.lines
+	limit := c.r.completedLines
 	switch {
 	case status >= http.StatusInternalServerError:
-		limit = c.r.failures
-	case c.answer.isBelieved():
-		limit = c.r.attempts
+		limit = c.r.failureLines
+	case c.answer.isAssumedWhole():
+		limit = c.r.attemptLines
 	}
 	c.line(limit, "request_completed", "status", status)
 }
 
-// logAgain logs a request that is sent to another server.
-func (c *call) logAgain(d admission.Decision, after step, err error) {
-	c.line(c.r.failures, "request_again", "after_server", d.Server, "ran", after != refused, "err", errText(err))
+// logNextServer logs a request that is sent to another server.
+func (c *call) logNextServer(d admission.Decision, after step, err error) {
+	c.line(c.r.failureLines, "request_again", "after_server", d.Server, "ran", after != refused, "err", errText(err))
 }
 
 // lineKey returns the key for the limit of log lines: requests that were sent to a server have
@@ -60,7 +60,7 @@
 		route = c.route.Name
 	}
 	all := []any{
-		"request", c.meta.ID, "content", c.content, "route", route, "team", c.team, "version", version, "server", c.last.Server, "source", c.last.Source,
+		"request", c.meta.ID, "content", c.fingerprint, "route", route, "team", c.team, "version", version, "server", c.last.Server, "source", c.last.Source,
 		"wait_ms", c.last.Wait.Milliseconds(), "limit_ms", c.last.Limit.Milliseconds(), "sent", c.sent, "reached", c.reached,
 		"standing", roundTo(c.last.Standing, standingDigits), "served", roundTo(c.last.Served, standingDigits), "throttled", c.last.Throttled, "rank", c.last.Rank, "cold", c.last.Cold, "backing_off", c.last.BackingOff, "since_backoff_ms", c.last.SinceBackoff.Milliseconds(), "elapsed_ms", c.elapsed.Milliseconds(),
 		"first_ms", c.firstMillis(), "pause_ms", c.pause.Milliseconds(), "late", c.lateness(), "config_age_ms", c.r.configAge().Milliseconds(), "peers_age_ms", c.r.peersAge().Milliseconds(), "time_left_ms", c.meta.TimeLeft.Milliseconds(), "prompt", c.meta.Prompt, "output", c.meta.Output, "body_bytes", len(c.body),
--- a/transport/direct/warn.go
+++ b/transport/direct/warn.go
@@ -12,31 +12,31 @@
 
 // Intervals and limits of the crash reports between routers.
 const (
-	// standEvery is the interval between repetitions of earlier reports in small fleets: a
+	// repeatInterval is the interval between repetitions of earlier reports in small fleets: a
 	// lost datagram costs a quarter of a second.
-	standEvery = 250 * time.Millisecond
-	// warnBudget bounds the datagrams per second with new reports. New reports are rare and
+	repeatInterval = 250 * time.Millisecond
+	// reportBudget bounds the datagrams per second with new reports. New reports are rare and
 	// small: with 800 routers, all receive a crash report within half a second.
-	warnBudget = 2000
+	reportBudget = 2000
 )
 
-// warn sends new crash reports to the other routers, and repeats the standing ones when they
-// are due.
-func (t *teller) warn(now time.Time) {
+// sendCrashReports sends new crash reports to the other routers, and repeats the standing ones
+// when they are due.
+func (t *gossiper) sendCrashReports(now time.Time) {
 	others := time.Duration(len(t.destinations))
 	r := t.r
 	r.mu.Lock()
 	var reports []quarantine.Report
-	if r.quarantine.HasUnsent() && now.Sub(t.warned) >= others*time.Second/warnBudget {
-		t.warned = now
+	if r.quarantine.HasUnsent() && now.Sub(t.reportsSent) >= others*time.Second/reportBudget {
+		t.reportsSent = now
 		reports = r.quarantine.UnsentReports(now)
 	}
-	if now.Sub(t.stood) >= max(standEvery, others*time.Second/tellBudget) {
-		t.stood = now
+	if now.Sub(t.repeatsSent) >= max(repeatInterval, others*time.Second/digestBudget) {
+		t.repeatsSent = now
 		reports = append(reports, r.quarantine.PeriodicReports(now)...)
 	}
 	if len(reports) > 0 {
-		t.addresses()
+		t.updateDestinations()
 	}
 	r.mu.Unlock()
 	for _, one := range reports {
@@ -49,8 +49,8 @@
 	}
 }
 
-// takeReport processes another router's crash report.
-func (r *Router) takeReport(datagram []byte) error {
+// receiveReport processes another router's crash report.
+func (r *Router) receiveReport(datagram []byte) error {
 	router, report, err := crashreport.Read(datagram)
 	if err != nil {
 		return err
@@ -58,16 +58,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.quarantine.Merge(time.Now(), router, report)
-	r.noteQuarantine()
+	r.handleQuarantineEvents()
 	return nil
 }
 
-// listed is a refused request in the list for operators.
-type listed struct {
+// refusedRequest is a refused request in the list for operators.
+type refusedRequest struct {
 	Content string    `json:"content"`
 	Since   time.Time `json:"since"`
-	// Trials is the number of probe requests that were allowed since.
-	Trials  int      `json:"trials"`
+	// Probes is the number of probe requests that were allowed since.
+	Probes  int      `json:"trials"`
 	Crashes []strike `json:"crashes"`
 }
 
@@ -75,8 +75,8 @@
 type strike struct {
 	Server string    `json:"server"`
 	At     time.Time `json:"at"`
-	// ToldBy are the routers that reported the request.
-	ToldBy []string `json:"told_by"`
+	// ReportedBy are the routers that reported the request.
+	ReportedBy []string `json:"told_by"`
 }
 
 // listQuarantine writes the refused requests.
@@ -84,11 +84,11 @@
 	r.mu.Lock()
 	entries := r.quarantine.List()
 	r.mu.Unlock()
-	out := make([]listed, 0, len(entries))
+	out := make([]refusedRequest, 0, len(entries))
 	for _, e := range entries {
-		one := listed{Content: e.Content.String(), Since: e.Since.UTC(), Trials: e.Trials}
+		one := refusedRequest{Content: e.Content.String(), Since: e.Since.UTC(), Probes: e.Trials}
 		for _, s := range e.Reasons {
-			one.Crashes = append(one.Crashes, strike{Server: s.Server, At: s.At.UTC(), ToldBy: s.ReportedBy})
+			one.Crashes = append(one.Crashes, strike{Server: s.Server, At: s.At.UTC(), ReportedBy: s.ReportedBy})
 		}
 		out = append(out, one)
 	}
@@ -106,7 +106,7 @@
 	}
 	r.mu.Lock()
 	known := r.quarantine.Release(time.Now(), quarantine.Fingerprint(content))
-	r.noteQuarantine()
+	r.handleQuarantineEvents()
 	r.mu.Unlock()
 	if !known {
 		http.Error(w, "no refused request has this content", http.StatusNotFound)
