--- a/transport/direct/asked_test.go
+++ b/transport/direct/asked_test.go
@@ -15,7 +15,7 @@
 // Guards against a flooding team whose demand seems small, so that other teams may exceed
 // their shares: requests refused for lack of streams count as demand, too.
 func TestARefusalForStreamsCountsAsDemand(t *testing.T) {
-	r := unserved(newBackend(t, "i-1", ok))
+	r := unservedRouter(newBackend(t, "i-1", ok))
 	r.fresh.Confirm(bootTime())
 	r.admission.SetService("app", admission.Traits{Engine: true})
 	r.load.maxStreams.Store(1)
--- a/transport/direct/direct_test.go
+++ b/transport/direct/direct_test.go
@@ -417,10 +417,10 @@
 	watcher.registerPeer(follower)
 	follower.registerPeer(watcher)
 	watcher.source.changes <- mirror.Delta{Revision: 10, Servers: []roster.Server{{ID: "i-1", Address: b.address, Service: "app", Slots: 8, Draining: true}}}
-	for n := 0; follower.router.metrics.changesAttached.Value() == 0 && n < 100; n++ {
+	for n := 0; follower.router.metrics.attachedApplied.Value() == 0 && n < 100; n++ {
 		time.Sleep(5 * time.Millisecond)
 	}
-	follower.Check(follower.router.metrics.changesAttached.Value(), qt.Equals, int64(1))
+	follower.Check(follower.router.metrics.attachedApplied.Value(), qt.Equals, int64(1))
 	follower.Check(follower.call("/safe/", "r").status, qt.Equals, http.StatusServiceUnavailable)
 	follower.Check(follower.router.metrics.peerReads.Value(), qt.Equals, int64(0))
 	// Changes older than the router's revision have no effect.
--- a/transport/direct/follow.go
+++ b/transport/direct/follow.go
@@ -42,10 +42,10 @@
 
 // follower is the state of the task that reads the store.
 type follower struct {
-	r               *Router
-	duty            watchduty.Config
-	loaded          time.Time
-	storeLostLogged bool
+	r                *Router
+	duty             watchduty.Config
+	loaded           time.Time
+	storeUnavailable bool
 	// nextTry is when a router that cannot reach the store tries it again.
 	nextTry time.Time
 	// catchUp tells that other routers have changes that this one lacks.
@@ -199,13 +199,13 @@
 	}
 	now := bootTime()
 	f.r.mu.Lock()
-	if !f.storeLostLogged || now-f.r.confirmedAt > peerSilenceLimit {
+	if !f.storeUnavailable || now-f.r.confirmedAt > peerSilenceLimit {
 		f.r.storeLostAt = now
 		f.r.roster.StoreLost()
 	}
 	f.r.mu.Unlock()
-	if !f.storeLostLogged {
-		f.storeLostLogged = true
+	if !f.storeUnavailable {
+		f.storeUnavailable = true
 		f.r.event("store_lost", "err", err)
 	}
 }
@@ -228,10 +228,10 @@
 // router, which may report that the store was available throughout. The store answered at the
 // given reading of bootTime.
 func (f *follower) storeBack(sound bool, at time.Duration) {
-	if !f.storeLostLogged {
+	if !f.storeUnavailable {
 		return
 	}
-	f.storeLostLogged = false
+	f.storeUnavailable = false
 	f.r.event("store_back", "own", f.r.storeSilentSince.Load() == 0)
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
--- a/transport/direct/framing_harness_test.go
+++ b/transport/direct/framing_harness_test.go
@@ -127,8 +127,8 @@
 	return &rawCaller{c: f.C, conn: conn, r: bufio.NewReader(conn)}
 }
 
-// ask sends a request and reads its answer as far as it comes.
-func (o *rawCaller) ask(method, proto, path, id string, headers ...string) callerView {
+// roundTrip sends a request and reads its answer as far as it comes.
+func (o *rawCaller) roundTrip(method, proto, path, id string, headers ...string) callerView {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s\r\nHost: h\r\n%s: %s\r\n%s: 2500\r\nContent-Length: 4\r\n", method, path, proto, testID, id, testLeft)
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -146,7 +146,7 @@
 
 // once sends a request on a new connection.
 func (f *fixture) once(proto, path, id string, headers ...string) callerView {
-	return f.connect().ask(http.MethodPost, proto, path, id, headers...)
+	return f.connect().roundTrip(http.MethodPost, proto, path, id, headers...)
 }
 
 // isWholeEvents reports whether the text is the start of a stream and consists of whole
--- a/transport/direct/framing_test.go
+++ b/transport/direct/framing_test.go
@@ -159,8 +159,8 @@
 			f := start(t, testConfig(1), newBackend(t, "i-1", tc.run))
 			kept := f.connect()
 			for i, got := range []callerView{
-				kept.ask(tc.method, http11, tc.path, "r1"), kept.ask(tc.method, http11, tc.path, "r2"),
-				f.connect().ask(tc.method, http10, tc.path, "r3"),
+				kept.roundTrip(tc.method, http11, tc.path, "r1"), kept.roundTrip(tc.method, http11, tc.path, "r2"),
+				f.connect().roundTrip(tc.method, http10, tc.path, "r3"),
 			} {
 				f.Check(got.broken, qt.IsNil, qt.Commentf("%d", i))
 				f.Check(got.status, qt.Equals, tc.status, qt.Commentf("%d", i))
@@ -195,8 +195,8 @@
 	run := inTurn(&n, ok, plan(answerPlan{framing: byConnection, body: midEventBodies["half a line"]}), ok)
 	f := start(t, testConfig(1), newBackend(t, "i-1", run))
 	kept := f.connect()
-	f.Check(kept.ask(http.MethodPost, http11, "/once/", "r1").body, qt.Equals, "hello")
-	f.Check(kept.ask(http.MethodPost, http11, "/stream/", "r2").looksWhole(), qt.IsFalse)
+	f.Check(kept.roundTrip(http.MethodPost, http11, "/once/", "r1").body, qt.Equals, "hello")
+	f.Check(kept.roundTrip(http.MethodPost, http11, "/stream/", "r2").looksWhole(), qt.IsFalse)
 	_, err := kept.r.ReadByte()
 	f.Check(err, qt.IsNotNil)
 }
--- a/transport/direct/held_test.go
+++ b/transport/direct/held_test.go
@@ -117,7 +117,7 @@
 // learned, late, that the store is back: the time for entries to come back counts from the
 // store's answer.
 func TestAGracePeriodStartsWithTheStoresAnswer(t *testing.T) {
-	r := unserved(newBackend(t, "i-1", ok))
+	r := unservedRouter(newBackend(t, "i-1", ok))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now, late := time.Now(), 1900*time.Millisecond
@@ -134,7 +134,7 @@
 // only its answer is late. The caller is refused at once and retries.
 func TestStaleInformationSendsNothing(t *testing.T) {
 	server := newBackend(t, "i-1", ok)
-	r := unserved(server)
+	r := unservedRouter(server)
 	w := sendBy(r, 2100*time.Millisecond)
 	qt.Check(t, server.runs(), qt.HasLen, 0)
 	qt.Check(t, w.Code, qt.Equals, http.StatusServiceUnavailable)
@@ -145,7 +145,7 @@
 // too old while there was nothing to send, and the store answers within milliseconds.
 func TestTheFirstRequestAfterAnIdlePeriodWaitsForTheStore(t *testing.T) {
 	server := newBackend(t, "i-1", ok)
-	r := unserved(server)
+	r := unservedRouter(server)
 	go func() {
 		<-r.infoWanted
 		time.Sleep(20 * time.Millisecond)
--- a/transport/direct/intake_test.go
+++ b/transport/direct/intake_test.go
@@ -13,8 +13,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// from returns a client whose connections come from the address, with one request each.
-func from(address string) *http.Client {
+// clientFrom returns a client whose connections come from the address, with one request each.
+func clientFrom(address string) *http.Client {
 	dialer := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(address)}}
 	return &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialer.DialContext}}
 }
@@ -38,7 +38,7 @@
 // which they send nothing, or half a request, and so keep the callers of a known team out.
 func TestSilentConnectionsDoNotStarveOtherCallers(t *testing.T) {
 	f := start(t, testConfig(1), newBackend(t, "i-1", ok))
-	known := from("127.0.0.2")
+	known := clientFrom("127.0.0.2")
 	f.Assert(ask(f, known, "key", "first"), qt.Equals, http.StatusOK)
 	ctx, cancel := context.WithCancel(context.Background())
 	var flooding sync.WaitGroup
--- a/transport/direct/leaving_test.go
+++ b/transport/direct/leaving_test.go
@@ -170,7 +170,7 @@
 // announces the server's shutdown: the request is not sent.
 func TestAPlacedRequestIsNotSentToADrainingServer(t *testing.T) {
 	server := newBackend(t, "i-1", ok)
-	r := informed(server)
+	r := currentRouter(server)
 	c := &call{r: r, table: r.table.Load(), service: "app", req: httptest.NewRequest(http.MethodPost, "/safe/", http.NoBody)}
 	c.route = c.table.Route("h", "/safe/")
 	d := c.placeRequest()
@@ -202,7 +202,7 @@
 func TestTheEndOfADrainingServerIsNoCrash(t *testing.T) {
 	for _, said := range []bool{false, true} {
 		server := newBackend(t, "i-1", ok)
-		r := unserved(server)
+		r := unservedRouter(server)
 		one, _ := r.server("i-1")
 		if said {
 			(&call{r: r}).applyAnnouncement(one, Reply{Leaving: true})
--- a/transport/direct/left_test.go
+++ b/transport/direct/left_test.go
@@ -35,9 +35,9 @@
 	return caller, accepted
 }
 
-// unserved returns a router that knows the server but does not run, so that its lateness and
+// unservedRouter returns a router that knows the server but does not run, so that its lateness and
 // the age of its information stay as they are set.
-func unserved(server *backendServer) *Router {
+func unservedRouter(server *backendServer) *Router {
 	cfg := Config{Admission: admission.DefaultConfig(), Roster: roster.DefaultConfig(), Backend: backend.DefaultConfig(), Staleness: staleness.DefaultConfig(), Freshness: 5 * time.Second}
 	r := New(settings.DefaultDirect(), cfg, nil, testDialect{}, log.NewNopLogger())
 	r.adopt(testConfig(1))
@@ -45,9 +45,9 @@
 	return r
 }
 
-// informed returns an unserved router whose information about draining servers is current.
-func informed(server *backendServer) *Router {
-	r := unserved(server)
+// currentRouter returns an unserved router whose information about draining servers is current.
+func currentRouter(server *backendServer) *Router {
+	r := unservedRouter(server)
 	r.fresh.Confirm(bootTime())
 	return r
 }
@@ -81,7 +81,7 @@
 		{false, true, 3 * time.Second, 1}, {false, false, 3 * time.Second, 0},
 	} {
 		server := newBackend(t, "i-1", ok)
-		r := unserved(server)
+		r := unservedRouter(server)
 		if tc.away {
 			r.roster.StoreLost()
 		}
@@ -101,7 +101,7 @@
 // that is not late does count as an outage.
 func TestASaturatedRoutersTimeoutIsNoOutage(t *testing.T) {
 	for _, saturated := range []bool{true, false} {
-		r := unserved(newBackend(t, "i-1", ok))
+		r := unservedRouter(newBackend(t, "i-1", ok))
 		r.load.saturated.Store(saturated)
 		f := &follower{r: r}
 		f.failed(context.Background(), fmt.Errorf("GET: %w", context.DeadlineExceeded))
@@ -120,7 +120,7 @@
 		want int
 	}{{true, 0}, {false, 1}} {
 		server := newBackend(t, "i-1", ok)
-		r := informed(server)
+		r := currentRouter(server)
 		r.load.meanLateness.Store(int64(2 * disconnectCheckLateness))
 		caller, accepted := connectionPair(t)
 		if tc.left {
--- a/transport/direct/load.go
+++ b/transport/direct/load.go
@@ -51,8 +51,8 @@
 }
 
 // rotationMessage returns the rotation state that this router sends its neighbours. A router that
-// is unready for another reason than its load is out of rotation, and does not return to make
-// room for another one.
+// is unready for another reason than its load is out of rotation, and does not return in exchange
+// for another router.
 func (r *Router) rotationMessage(now time.Time) rotation.Word {
 	if r.ready() != nil && !r.load.outOfRotation.Load() {
 		return rotation.Word{Away: time.Millisecond, Late: true}
@@ -120,9 +120,9 @@
 	r.load.saturated.Store(tracker.Saturated())
 	limit.Adjust(now, tracker.Mean(), r.load.openStreams())
 	r.load.meanLateness.Store(int64(tracker.Mean()))
-	held := r.load.openStreams()
-	if r.gate.Observe(now, late, held >= limit.Most()) {
-		r.event("intake", "chooses", r.gate.Chooses(), "lateness", tracker.Mean(), "streams", held, "most", limit.Most())
+	streams := r.load.openStreams()
+	if r.gate.Observe(now, late, streams >= limit.Most()) {
+		r.event("intake", "chooses", r.gate.Chooses(), "lateness", tracker.Mean(), "streams", streams, "most", limit.Most())
 	}
 	r.selfCheck(now, !tracker.Calm())
 	r.load.maxStreams.Store(int64(limit.Most()))
--- a/transport/direct/metrics.go
+++ b/transport/direct/metrics.go
@@ -18,7 +18,7 @@
 	dropped         *expvar.Int
 	peerErrors      *expvar.Int
 	peerReads       *expvar.Int
-	changesAttached *expvar.Int
+	attachedApplied *expvar.Int
 	forwarded       *expvar.Int
 	closedIdle      *expvar.Int
 	invalid         *expvar.Int
@@ -51,7 +51,7 @@
 		storeErrors:     v.Int("direct_store_errors"),
 		dropped:         v.Int("log_lines_dropped"),
 		peerReads:       v.Int("direct_peer_reads"),
-		changesAttached: v.Int("direct_changes_passed"),
+		attachedApplied: v.Int("direct_changes_passed"),
 		forwarded:       v.Int("direct_messages_passed_on"),
 		peerErrors:      v.Int("direct_peer_errors"),
 		closedIdle:      v.Int("direct_idle_closed"),
--- a/transport/direct/overdue_test.go
+++ b/transport/direct/overdue_test.go
@@ -58,7 +58,7 @@
 		want   int
 	}{{true, 0}, {false, 1}} {
 		server := newBackend(t, "i-1", ok)
-		r := informed(server)
+		r := currentRouter(server)
 		caller, accepted := connectionPair(t)
 		r.dialect = beforeSendDialect{then: func() {
 			if tc.leaves {
--- a/transport/direct/pass.go
+++ b/transport/direct/pass.go
@@ -58,5 +58,5 @@
 	}
 	r.adoptIfPresent(d.Config)
 	r.update(d)
-	r.metrics.changesAttached.Add(1)
+	r.metrics.attachedApplied.Add(1)
 }
