--- a/transport/direct/announced.go
+++ b/transport/direct/announced.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// drainingServers returns the servers that told this router directly that they are draining,
+// drainingServers returns the servers that announced to this router that they are draining,
 // for gossip to the other routers. The caller holds mu.
 func (r *Router) drainingServers() []admission.ServerID {
 	var out []admission.ServerID
--- a/transport/direct/backoff_test.go
+++ b/transport/direct/backoff_test.go
@@ -25,7 +25,7 @@
 	after  time.Duration
 	sound  atomic.Bool
 	status int
-	// notRun tells that it marks requests that it did not run.
+	// notRun means that it marks requests that it did not run.
 	notRun bool
 }
 
--- a/transport/direct/callers_test.go
+++ b/transport/direct/callers_test.go
@@ -123,7 +123,7 @@
 
 // A caller that closes its side of the connection counts as disconnected; it must not read an
 // empty success for a request whose run was cancelled.
-func TestACallerThatEndsItsSideGetsNoEmptySuccess(t *testing.T) {
+func TestACallerThatClosesItsSideGetsNoEmptySuccess(t *testing.T) {
 	b := newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool {
 		time.Sleep(300 * time.Millisecond)
 		return ok(w, req)
--- a/transport/direct/changes.go
+++ b/transport/direct/changes.go
@@ -33,7 +33,7 @@
 	Version uint64 `json:"version"`
 	// Have is the revision up to which it is complete; 0 means that it has nothing.
 	Have uint64 `json:"have"`
-	// Packs tells that it accepts packed answers.
+	// Packs means that it accepts packed answers.
 	Packs bool `json:"packs,omitempty"`
 }
 
@@ -41,7 +41,7 @@
 type changesAnswer struct {
 	Changes *mirror.Delta    `json:"changes,omitempty"`
 	Whole   *mirror.Snapshot `json:"whole,omitempty"`
-	// Settling tells that servers may be missing only because the store was unavailable.
+	// Settling means that servers may be missing only because the store was unavailable.
 	Settling bool `json:"settling,omitempty"`
 	// Packed is the encoded answer, in place of the other fields.
 	Packed []byte `json:"packed,omitempty"`
--- a/transport/direct/delayed_test.go
+++ b/transport/direct/delayed_test.go
@@ -85,7 +85,7 @@
 }
 
 // Guards against the same fault with a request that may run only once: it may not be sent
-// elsewhere, so its caller is told that it may have run.
+// elsewhere, so its caller learns that it may have run.
 func TestARequestThatMayRunOnceDoesNotReachAServerThatShutDown(t *testing.T) {
 	leaving := newBackend(t, "i-1", ok)
 	link, known := behindLink(t, leaving)
--- a/transport/direct/dialect.go
+++ b/transport/direct/dialect.go
@@ -48,16 +48,16 @@
 
 // Reply is what the head of an answer says about the run.
 type Reply struct {
-	// NotRun tells that the server did not run the request and will not.
+	// NotRun means that the server did not run the request and will not.
 	NotRun bool
-	// OtherServer tells that a different server has the address.
+	// OtherServer means that a different server has the address.
 	OtherServer bool
-	// Marked tells that the answer carries the server's mark, without which a success is not
+	// Marked means that the answer carries the server's mark, without which a success is not
 	// the server's.
 	Marked bool
 	// Load is the server's own load; Slots is 0 if the server did not report it.
 	Load admission.Load
-	// Leaving tells that the server is shutting down and accepts no new requests.
+	// Leaving means that the server is shutting down and accepts no new requests.
 	Leaving bool
 	// RetryAfter is the back-off that a server which refused the request asks of this router;
 	// 0 if it does not say.
--- a/transport/direct/direct_test.go
+++ b/transport/direct/direct_test.go
@@ -39,7 +39,7 @@
 	f.Check(got.header.Get("Retry-After"), qt.Not(qt.Equals), "")
 }
 
-func TestAnAnswerIsPassedOnAsItIs(t *testing.T) {
+func TestAnAnswerIsRelayedUnchanged(t *testing.T) {
 	b := newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool {
 		return respond(w, req, http.StatusCreated, testMark+": m\r\nX-Other: kept\r\n", "héllo")
 	})
@@ -164,7 +164,7 @@
 
 // An idempotent request whose answer breaks off is retried, and the caller gets the whole
 // answer of one run.
-func TestABrokenAnswerIsRepeatedWhole(t *testing.T) {
+func TestABrokenAnswerIsRetriedWhole(t *testing.T) {
 	for _, head := range []string{"Content-Length: 9\r\n", "", "Transfer-Encoding: chunked\r\n"} {
 		var once sync.Once
 		run := func(w io.Writer, req *http.Request) bool {
@@ -190,7 +190,7 @@
 	}
 }
 
-func TestAStreamIsPassedOnWhole(t *testing.T) {
+func TestAStreamIsRelayedWhole(t *testing.T) {
 	f := start(t, testConfig(1), newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool { return events(w, req, 5, time.Millisecond, false) }))
 	got := f.call("/stream/", "r")
 	f.Check(got.err, qt.IsNil)
@@ -240,7 +240,7 @@
 }
 
 // A caller's disconnection cancels the run at the server.
-func TestACallerThatLeavesEndsTheRun(t *testing.T) {
+func TestACallersDisconnectionCancelsTheRun(t *testing.T) {
 	ended := make(chan struct{})
 	b := newBackend(t, "i-1", func(w io.Writer, _ *http.Request) bool {
 		_, _ = w.(net.Conn).Read(make([]byte, 1))
@@ -410,7 +410,7 @@
 // A saturated router must still learn at once that a server is draining. A call to another
 // router took longer than its timeout there, for seconds. One message brings the change, and
 // no call is made.
-func TestChangesComeWithTheNextMessage(t *testing.T) {
+func TestChangesAreAttachedToTheNextMessage(t *testing.T) {
 	b := newBackend(t, "i-1", ok)
 	watcher, follower := startPeer(t, "a", testConfig(1), b), startPeer(t, "b", testConfig(1), b)
 	follower.source.setDown(true)
@@ -541,7 +541,7 @@
 
 // A timeout at a router that reads late is not counted against the server; a refused
 // connection always is.
-func TestALateRouterDoesNotBlameServers(t *testing.T) {
+func TestATimeoutAtALateRouterIsNotCountedAgainstServers(t *testing.T) {
 	f := start(t, testConfig(1))
 	timeout := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	refused := &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
--- a/transport/direct/dispatch.go
+++ b/transport/direct/dispatch.go
@@ -26,7 +26,7 @@
 
 // Steps after an attempt.
 const (
-	// done means that the caller has its final answer or has left.
+	// done means that the caller has its final answer or has disconnected.
 	done step = iota
 	// refused means that the server did not run the request.
 	refused
--- a/transport/direct/follow.go
+++ b/transport/direct/follow.go
@@ -48,9 +48,9 @@
 	storeUnavailable bool
 	// nextTry is when a router that cannot reach the store tries it again.
 	nextTry time.Time
-	// catchUp tells that other routers have changes that this one lacks.
+	// catchUp means that other routers have changes that this one lacks.
 	catchUp bool
-	// infoWanted tells that a request waits for more recent information.
+	// infoWanted means that a request waits for more recent information.
 	infoWanted bool
 }
 
--- a/transport/direct/forward_test.go
+++ b/transport/direct/forward_test.go
@@ -103,7 +103,7 @@
 
 // In a data centre of many routers, a digest is sent there once or, with a confirmation by the
 // store, twice, through routers that take turns; watchers receive each digest directly.
-func TestADigestCrossesOnce(t *testing.T) {
+func TestADigestIsSentOncePerDataCentre(t *testing.T) {
 	var ids []string
 	for i := range 10 {
 		ids = append(ids, fmt.Sprintf("far-%d", i))
@@ -131,7 +131,7 @@
 			few++
 		}
 	}
-	// The first ones were sent before any router was heard.
+	// The first ones were sent before a message of any router was received.
 	f.Check(few > 5, qt.IsTrue, qt.Commentf("%v", crossed))
 	f.Check(len(passers) > 2, qt.IsTrue, qt.Commentf("%d routers were asked to forward", len(passers)))
 }
--- a/transport/direct/framing_test.go
+++ b/transport/direct/framing_test.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// checkGoesOn lets the first server break off a stream that may be resumed: the second one
+// checkContinued lets the first server break off a stream that may be resumed: the second one
 // continues after the last whole event, in the same answer.
-func checkGoesOn(t *testing.T, framing string) {
+func checkContinued(t *testing.T, framing string) {
 	for name, body := range midEventBodies {
 		var n atomic.Int32
 		run := inTurn(&n, plan(answerPlan{framing: framing, body: body, end: closes}), continueStream)
@@ -65,8 +65,8 @@
 
 // Guards against taking a connection that closed inside an event for the end of a stream that
 // another server could have continued.
-func TestAStreamWithoutFramingThatClosesInsideAnEventGoesOn(t *testing.T) {
-	checkGoesOn(t, byConnection)
+func TestAStreamWithoutFramingThatClosesInsideAnEventIsContinued(t *testing.T) {
+	checkContinued(t, byConnection)
 }
 
 // Guards against taking a marked end inside an event for the end of the stream.
@@ -77,9 +77,9 @@
 
 // Guards against taking a marked end inside an event for the end of a stream that another
 // server could have continued.
-func TestAMarkedEndInsideAnEventGoesOn(t *testing.T) {
-	checkGoesOn(t, byChunks)
-	checkGoesOn(t, byLength)
+func TestAMarkedEndInsideAnEventIsContinued(t *testing.T) {
+	checkContinued(t, byChunks)
+	checkContinued(t, byLength)
 }
 
 // Guards against a caller without chunked encoding that reads each cut as the end of a whole
@@ -269,7 +269,7 @@
 
 // Guards against a server that should continue a stream but restarts it, so that the caller
 // gets the first events twice.
-func TestAContinuationThatBeginsAnewIsNotJoined(t *testing.T) {
+func TestAContinuationThatRestartsIsNotJoined(t *testing.T) {
 	checkJoining(t, answerPlan{framing: byChunks, body: eventsText(1, streamEvents)})
 }
 
@@ -281,7 +281,7 @@
 
 // Guards against a server that should continue a stream but skips events, so that the caller
 // never gets them.
-func TestAContinuationThatLeavesEventsOutIsNotJoined(t *testing.T) {
+func TestAContinuationThatSkipsEventsIsNotJoined(t *testing.T) {
 	checkJoining(t, answerPlan{framing: byChunks, body: eventsText(5, streamEvents)})
 }
 
@@ -453,15 +453,15 @@
 		for _, proto := range []string{http11, http10} {
 			t.Run(fmt.Sprintf("%+v %s", p, proto), func(t *testing.T) {
 				t.Parallel()
-				brokenOffAtAnyByte(t, p, proto)
+				checkBrokenOffAtAnyByte(t, p, proto)
 			})
 		}
 	}
 }
 
-// brokenOffAtAnyByte breaks the stream off at each byte by the plan, for callers of the
+// checkBrokenOffAtAnyByte breaks the stream off at each byte by the plan, for callers of the
 // protocol.
-func brokenOffAtAnyByte(t *testing.T, p answerPlan, proto string) {
+func checkBrokenOffAtAnyByte(t *testing.T, p answerPlan, proto string) {
 	stream := eventsText(1, 2) + ": comment\n\nid: 3\r\ndata: e3\r\ndata: more\r\n\r\n" + eventsText(4, 4)
 	rest := map[string]string{"": stream, "1": stream[len(eventsText(1, 1)):], "2": stream[len(eventsText(1, 2)):], "3": eventsText(4, 4)}
 	var mu sync.Mutex
--- a/transport/direct/gossip.go
+++ b/transport/direct/gossip.go
@@ -34,7 +34,7 @@
 	nextFull     time.Time
 	nextTeams    time.Time
 	destinations map[string]netip.AddrPort
-	// watchers are the destinations that query the store; watches tells that this router does.
+	// watchers are the destinations that query the store; watches means that this router does.
 	watchers map[string]netip.AddrPort
 	watches  bool
 	// period is the interval between digests.
--- a/transport/direct/load.go
+++ b/transport/direct/load.go
@@ -14,9 +14,9 @@
 
 // load tracks how late this process reads its input.
 type load struct {
-	// saturated tells that the processor has more work than it can do.
+	// saturated means that the processor has more work than it can do.
 	saturated atomic.Bool
-	// outOfRotation tells that the router is out of the load balancer's rotation.
+	// outOfRotation means that the router is out of the load balancer's rotation.
 	outOfRotation atomic.Bool
 	// meanLateness is the mean lateness in nanoseconds.
 	meanLateness atomic.Int64
--- a/transport/direct/serve.go
+++ b/transport/direct/serve.go
@@ -51,15 +51,15 @@
 	// sent to.
 	reached int
 	sent    int
-	// arrived tells that the last send reached a server.
+	// arrived means that the last send reached a server.
 	arrived bool
 	avoid   []string
 	last    admission.Decision
 	// tokens is the size of the request; 0 for plain services.
 	tokens float64
-	// countedStarted tells that the request was counted as started for its team.
+	// countedStarted means that the request was counted as started for its team.
 	countedStarted bool
-	// answerBegun tells that a part of the answer was relayed.
+	// answerBegun means that a part of the answer was relayed.
 	answerBegun bool
 	// server is the one that the request was last sent to.
 	server roster.Server
