--- a/transport/direct/announced.go
+++ b/transport/direct/announced.go
@@ -11,23 +11,23 @@
 	"goldcrestport/transport/callerconn"
 )
 
-// Reasons for which a request that was placed is not sent any more.
+// Reasons for not sending a request that was already placed.
 var (
-	errTooLate = errors.New("too late for a cold server")
-	errLeft    = errors.New("the server left")
-	errBackoff = errors.New("the server wants no requests for a time")
-	errOver    = errors.New("the time limit passed")
-	// errCallerLeft is of the caller, not of the server.
+	errTooLate        = errors.New("the send time for a cold server has passed")
+	errServerGone     = errors.New("the server left")
+	errBackoff        = errors.New("the server requested a back-off")
+	errDeadlinePassed = errors.New("the request's deadline passed")
+	// errCallerLeft concerns the caller, not the server.
 	errCallerLeft = errors.New("the caller left")
 )
 
-// mayBegin returns why the request must not be sent after all, or nil. Between the
-// decision and the first byte a connection is opened, and a flooded router runs other
-// requests: what became of the caller and the server meanwhile counts.
+// mayBegin returns why the request must not be sent, or nil. Opening a connection takes time
+// between the decision and the first byte, and a busy router runs other requests meanwhile, so
+// the states of the caller and the server are checked again.
 func (c *call) mayBegin(run *admission.Run, server roster.Server) error {
 	switch {
 	case c.left() <= 0:
-		return errOver
+		return errDeadlinePassed
 	case callerconn.HasEnded(c.conn()):
 		return errCallerLeft
 	default:
@@ -35,7 +35,7 @@
 	}
 }
 
-// mayBegin returns why a request must not go to the server after all, or nil.
+// mayBegin returns why a request must not go to the server, or nil.
 func (r *Router) mayBegin(run *admission.Run, server roster.Server) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,7 +43,7 @@
 		return errTooLate
 	}
 	if now, known := r.servers[server.ID]; !known || now.Incarnation != server.Incarnation {
-		return errLeft
+		return errServerGone
 	}
 	if !r.mayRely(server) {
 		return errStale
@@ -54,22 +54,22 @@
 	return nil
 }
 
-// headOf takes the head of an answer that arrived at the request's connection, and
-// reports whether it is the request's. One that is not was sent by the same process,
-// and what it says of itself holds all the same.
-func (c *call) headOf(server roster.Server, status int, h http.Header) (own bool) {
+// checkHead processes the head of an answer that arrived on the request's connection and reports
+// whether it belongs to the request. One that does not was still sent by the same process, so
+// what it says about the server is valid.
+func (c *call) checkHead(server roster.Server, status int, h http.Header) (own bool) {
 	if c.r.dialect.Own(h, c.meta.ID) {
 		return true
 	}
-	c.announced(server, c.r.dialect.Reply(status, h))
+	c.applyAnnouncement(server, c.r.dialect.Reply(status, h))
 	return false
 }
 
-// announced takes what an answer says of the server itself. The answer of another
-// server at its address says nothing of it.
-func (c *call) announced(server roster.Server, reply Reply) {
+// applyAnnouncement processes what an answer says about the server itself. An answer of
+// another server at the same address says nothing about it.
+func (c *call) applyAnnouncement(server roster.Server, reply Reply) {
 	if reply.Invalid != "" {
-		c.r.invalidAnswer(server, reply.Invalid)
+		c.r.logInvalidAnswer(server, reply.Invalid)
 	}
 	if !reply.Leaving || reply.OtherServer {
 		return
@@ -79,17 +79,17 @@
 	c.r.apply(c.r.roster.ShutdownAnnounced(server.ID, server.Incarnation), "said_to", c.meta.ID)
 }
 
-// invalidAnswer notes that what a server said of itself cannot be read.
-func (r *Router) invalidAnswer(server roster.Server, what string) {
+// logInvalidAnswer records that a server sent information about itself that cannot be parsed.
+func (r *Router) logInvalidAnswer(server roster.Server, what string) {
 	r.metrics.invalidAnswers.Add(1)
-	if allowed, dropped := r.lines.Allow("invalid_answer", time.Now()); allowed {
+	if allowed, dropped := r.completedLines.Allow("invalid_answer", time.Now()); allowed {
 		r.event("invalid_answer", "server", server.ID, "incarnation", server.Incarnation, "text", what, "left_out", dropped)
 	}
 }
 
-// leavingServers returns the servers that told this router itself that they leave, for the
-// others. The caller holds mu.
-func (r *Router) leavingServers() []admission.ServerID {
+// drainingServers returns the servers that announced to this router that they are draining,
+// for gossip to the other routers. The caller holds mu.
+func (r *Router) drainingServers() []admission.ServerID {
 	var out []admission.ServerID
 	for _, one := range r.roster.AnnouncedServers() {
 		out = append(out, admission.NumberOf(one.ID, one.Incarnation))
@@ -97,8 +97,8 @@
 	return out
 }
 
-// toldLeaving takes another router's word on servers that leave. The caller holds mu.
-func (r *Router) toldLeaving(router string, servers []admission.ServerID) {
+// receiveDraining applies another router's message about draining servers. The caller holds mu.
+func (r *Router) receiveDraining(router string, servers []admission.ServerID) {
 	for _, number := range servers {
 		if id, incarnation, known := r.admission.ServerByNumber(number); known {
 			r.apply(r.roster.ShutdownReported(time.Now(), id, incarnation), "said_to", router)
--- a/transport/direct/callers_test.go
+++ b/transport/direct/callers_test.go
@@ -17,17 +17,18 @@
 	"goldcrestport/protocol/settings"
 )
 
-// holding is a backend server that holds requests until it is told to answer.
-type holding struct {
+// pausedBackend is a backend server that does not answer requests until it is told to.
+type pausedBackend struct {
 	server  *backendServer
 	running atomic.Int64
 	release chan struct{}
 	replies chan reply
 }
 
-// startHolding runs a router with so many places for connections before it.
-func startHolding(t *testing.T, places int) (*fixture, *holding) {
-	h := &holding{release: make(chan struct{}), replies: make(chan reply, places)}
+// startPaused runs a router with the given maximum number of callers' connections and a
+// paused server.
+func startPaused(t *testing.T, places int) (*fixture, *pausedBackend) {
+	h := &pausedBackend{release: make(chan struct{}), replies: make(chan reply, places)}
 	h.server = newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool {
 		if req.URL.Path == "/safe/held" {
 			h.running.Add(1)
@@ -39,8 +40,8 @@
 	return f, h
 }
 
-// fill takes every place with a request that is held.
-func (h *holding) fill(f *fixture, places int) {
+// fillConnections occupies every connection with a pending request.
+func (h *pausedBackend) fillConnections(f *fixture, places int) {
 	for i := range places {
 		go func() { h.replies <- f.call("/safe/held", fmt.Sprint("held", i)) }()
 	}
@@ -49,17 +50,17 @@
 	}
 }
 
-// empty answers what is held.
-func (h *holding) empty(f *fixture, places int) {
+// answerAll lets the server answer the pending requests.
+func (h *pausedBackend) answerAll(f *fixture, places int) {
 	close(h.release)
 	for range places {
 		f.Check((<-h.replies).status, qt.Equals, http.StatusOK)
 	}
 }
 
-// An answer on a crowded router names a short life, and the next one, which names none,
-// takes it back, or the connection's end.
-func TestAnAnswerTakesAShortLifeBack(t *testing.T) {
+// An answer on a crowded router announces a short idle timeout; the next one, which announces
+// none, revokes it, or the connection ends.
+func TestAnAnswerRevokesAShortIdleTimeout(t *testing.T) {
 	f := startWith(t, testConfig(1), func(set *settings.Direct, _ *testSource) { set.Callers.Connections = 8 }, newBackend(t, "i-1", ok))
 	conn, err := net.Dial("tcp", f.set.Listen.Callers)
 	f.Assert(err, qt.IsNil)
@@ -89,17 +90,17 @@
 	f.Check(f.router.callers.ShortLived(), qt.Equals, 0)
 	// A refusal is an answer, too.
 	f.source.changes <- mirror.Delta{Removed: []string{"i-1"}, Revision: 2}
-	f.waitFor("the server is still known", func() bool { return f.router.known() == 2 })
+	f.waitFor("the server is still known", func() bool { return f.router.knownRevision() == 2 })
 	f.Check(send(), qt.Equals, "")
 	f.Check(f.router.callers.ShortLived(), qt.Equals, 0)
 }
 
-// Callers who hold every place with idle connections, or with ones on which
-// they never sent anything, keep no new caller out; a router whose places are
-// all in use says that it is not ready.
-func TestAFullRouterMakesRoomOrIsNotReady(t *testing.T) {
+// Callers who occupy every connection with idle ones, or with ones on which they never sent
+// anything, keep no new caller out; a router whose connections are all in use reports that it
+// is not ready.
+func TestAFullRouterClosesIdleConnectionsOrIsNotReady(t *testing.T) {
 	const places = 8
-	f, h := startHolding(t, places)
+	f, h := startPaused(t, places)
 	silent := func() {
 		for range places {
 			conn, err := net.Dial("tcp", f.set.Listen.Callers)
@@ -113,16 +114,16 @@
 	f.Check(time.Since(began) < time.Second, qt.IsTrue)
 	f.waitReady()
 
-	h.fill(f, places)
+	h.fillConnections(f, places)
 	f.Check(f.ready(), qt.Equals, http.StatusServiceUnavailable)
-	h.empty(f, places)
-	// The callers' connections end a moment after their answers.
+	h.answerAll(f, places)
+	// The callers' connections end shortly after their answers.
 	f.waitReady()
 }
 
-// A caller that ends its side of the connection counts as gone; it must not read
-// an empty success for a request whose run was cancelled.
-func TestACallerThatEndsItsSideGetsNoEmptySuccess(t *testing.T) {
+// A caller that closes its side of the connection counts as disconnected; it must not read an
+// empty success for a request whose run was cancelled.
+func TestACallerThatClosesItsSideGetsNoEmptySuccess(t *testing.T) {
 	b := newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool {
 		time.Sleep(300 * time.Millisecond)
 		return ok(w, req)
@@ -139,13 +140,13 @@
 	f.Check(string(answer), qt.Equals, "")
 }
 
-// A caller that waited for a place and left meanwhile: its request is read when
-// a place is free, and it is not sent on, though the router is not late (GONE on
-// plgc-port-grown: a flood held every place of a small router).
-func TestWhoLeftWhileWaitingForAPlaceIsNotServed(t *testing.T) {
+// A caller waits for its connection to be accepted and disconnects meanwhile: its request is
+// read once a connection is free and must not be sent on, even though the router is not late.
+// It happened when a flood occupied every connection of a small router.
+func TestACallerThatDisconnectsBeforeAcceptIsNotServed(t *testing.T) {
 	const places = 4
-	f, h := startHolding(t, places)
-	h.fill(f, places)
+	f, h := startPaused(t, places)
+	h.fillConnections(f, places)
 	const left = 50
 	for i := range left {
 		conn, err := net.Dial("tcp", f.set.Listen.Callers)
@@ -154,7 +155,7 @@
 		f.Assert(err, qt.IsNil)
 		f.Assert(conn.Close(), qt.IsNil)
 	}
-	h.empty(f, places)
+	h.answerAll(f, places)
 	f.Check(f.call("/safe/", "after").status, qt.Equals, http.StatusOK)
 	for _, id := range h.server.runs() {
 		f.Check(strings.HasPrefix(id, "left"), qt.IsFalse, qt.Commentf(id))
--- a/transport/direct/warn.go
+++ b/transport/direct/crashreport.go
@@ -10,32 +10,33 @@
 	"goldcrestport/protocol/crashreport"
 )
 
-// Times of what routers tell each other of crashes.
+// Intervals and limits of the crash reports between routers.
 const (
-	// standEvery is the time between tellings of what was told before, in small
-	// fleets: a lost datagram costs a quarter of a second.
-	standEvery = 250 * time.Millisecond
-	// warnBudget bounds the datagrams of news in a second. News is rare and
-	// small: at 800 routers all know of a crash in half a second.
-	warnBudget = 2000
+	// repeatInterval is the interval between repetitions of earlier reports in small fleets: a
+	// lost datagram costs a quarter of a second.
+	repeatInterval = 250 * time.Millisecond
+	// reportBudget bounds the datagrams per second with new reports. New reports are rare and
+	// small: with 800 routers, all receive a crash report within half a second.
+	reportBudget = 2000
 )
 
-// warn tells the others what is new of crashes, and what stands when it is time.
-func (t *teller) warn(now time.Time) {
+// sendCrashReports sends new crash reports to the other routers, and repeats the standing ones
+// when they are due.
+func (t *gossiper) sendCrashReports(now time.Time) {
 	others := time.Duration(len(t.destinations))
 	r := t.r
 	r.mu.Lock()
 	var reports []quarantine.Report
-	if r.quarantine.HasUnsent() && now.Sub(t.warned) >= others*time.Second/warnBudget {
-		t.warned = now
+	if r.quarantine.HasUnsent() && now.Sub(t.reportsSent) >= others*time.Second/reportBudget {
+		t.reportsSent = now
 		reports = r.quarantine.UnsentReports(now)
 	}
-	if now.Sub(t.stood) >= max(standEvery, others*time.Second/tellBudget) {
-		t.stood = now
+	if now.Sub(t.repeatsSent) >= max(repeatInterval, others*time.Second/digestBudget) {
+		t.repeatsSent = now
 		reports = append(reports, r.quarantine.PeriodicReports(now)...)
 	}
 	if len(reports) > 0 {
-		t.addresses()
+		t.updateDestinations()
 	}
 	r.mu.Unlock()
 	for _, one := range reports {
@@ -48,8 +49,8 @@
 	}
 }
 
-// takeReport takes another router's report of crashes.
-func (r *Router) takeReport(datagram []byte) error {
+// receiveReport processes another router's crash report.
+func (r *Router) receiveReport(datagram []byte) error {
 	router, report, err := crashreport.Read(datagram)
 	if err != nil {
 		return err
@@ -57,25 +58,25 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.quarantine.Merge(time.Now(), router, report)
-	r.noteQuarantine()
+	r.handleQuarantineEvents()
 	return nil
 }
 
-// listed is a refused request as operators read it.
-type listed struct {
+// refusedRequest is a refused request in the list for operators.
+type refusedRequest struct {
 	Content string    `json:"content"`
 	Since   time.Time `json:"since"`
-	// Trials is the number of sends that were allowed since.
-	Trials  int      `json:"trials"`
+	// Probes is the number of probe requests that were allowed since.
+	Probes  int      `json:"trials"`
 	Crashes []strike `json:"crashes"`
 }
 
-// strike is one crash that a request is refused for.
+// strike is a crash counted against a request's fingerprint.
 type strike struct {
 	Server string    `json:"server"`
 	At     time.Time `json:"at"`
-	// ToldBy are the routers that named the request.
-	ToldBy []string `json:"told_by"`
+	// ReportedBy are the routers that reported the request.
+	ReportedBy []string `json:"told_by"`
 }
 
 // listQuarantine writes the refused requests.
@@ -83,20 +84,20 @@
 	r.mu.Lock()
 	entries := r.quarantine.List()
 	r.mu.Unlock()
-	out := make([]listed, 0, len(entries))
+	out := make([]refusedRequest, 0, len(entries))
 	for _, e := range entries {
-		one := listed{Content: e.Content.String(), Since: e.Since.UTC(), Trials: e.Trials}
+		one := refusedRequest{Content: e.Content.String(), Since: e.Since.UTC(), Probes: e.Trials}
 		for _, s := range e.Reasons {
-			one.Crashes = append(one.Crashes, strike{Server: s.Server, At: s.At.UTC(), ToldBy: s.ReportedBy})
+			one.Crashes = append(one.Crashes, strike{Server: s.Server, At: s.At.UTC(), ReportedBy: s.ReportedBy})
 		}
 		out = append(out, one)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// The reader may be gone; there is nobody else to tell.
+	// The reader may be gone, and the error cannot be reported elsewhere.
 	_ = json.NewEncoder(w).Encode(out)
 }
 
-// releaseQuarantined takes a request off the list, at all routers.
+// releaseQuarantined removes a request from the quarantine, at all routers.
 func (r *Router) releaseQuarantined(w http.ResponseWriter, req *http.Request) {
 	content, err := strconv.ParseUint(req.PathValue("content"), 16, 64)
 	if err != nil {
@@ -105,9 +106,9 @@
 	}
 	r.mu.Lock()
 	known := r.quarantine.Release(time.Now(), quarantine.Fingerprint(content))
-	r.noteQuarantine()
+	r.handleQuarantineEvents()
 	r.mu.Unlock()
 	if !known {
-		http.Error(w, "nothing is known of this content", http.StatusNotFound)
+		http.Error(w, "no refused request has this content", http.StatusNotFound)
 	}
 }
--- a/transport/direct/asked_test.go
+++ b/transport/direct/demand_test.go
@@ -12,13 +12,13 @@
 	"goldcrestport/coordination/fairshare"
 )
 
-// Guards against a flooding team that seems to ask for little, so that others may run
-// ahead of it: what is refused for lack of streams was asked for, too.
-func TestARefusalForStreamsCountsAsAsked(t *testing.T) {
-	r := unserved(newBackend(t, "i-1", ok))
+// Guards against a flooding team whose demand seems small, so that other teams may exceed
+// their shares: requests refused for lack of streams count as demand, too.
+func TestARefusalForStreamsCountsAsDemand(t *testing.T) {
+	r := unservedRouter(newBackend(t, "i-1", ok))
 	r.fresh.Confirm(bootTime())
 	r.admission.SetService("app", admission.Traits{Engine: true})
-	r.load.most.Store(1)
+	r.load.maxStreams.Store(1)
 	r.load.streams = 2
 	req := httptest.NewRequest(http.MethodPost, "/stream/", http.NoBody)
 	w := httptest.NewRecorder()
--- a/transport/direct/direct_test.go
+++ b/transport/direct/direct_test.go
@@ -39,7 +39,7 @@
 	f.Check(got.header.Get("Retry-After"), qt.Not(qt.Equals), "")
 }
 
-func TestAnAnswerIsPassedOnAsItIs(t *testing.T) {
+func TestAnAnswerIsRelayedUnchanged(t *testing.T) {
 	b := newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool {
 		return respond(w, req, http.StatusCreated, testMark+": m\r\nX-Other: kept\r\n", "héllo")
 	})
@@ -71,9 +71,9 @@
 	f.Check(b.runs(), qt.DeepEquals, []string{"d"})
 }
 
-// A key that was taken away stops working also at a router that cannot reach
-// the store: within the bound, it refuses every key. Public routes go on.
-func TestKeysNeedKnowledgeThatIsFresh(t *testing.T) {
+// A revoked key stops working also at a router that cannot reach the store: within the
+// freshness bound, it refuses every key. Public routes keep working.
+func TestKeysNeedAFreshConfiguration(t *testing.T) {
 	f := start(t, testConfig(1), newBackend(t, "i-1", ok))
 	f.Check(f.call("/keyed/", "a", testKey, "key").status, qt.Equals, http.StatusOK)
 	f.source.setDown(true)
@@ -81,7 +81,7 @@
 	got := f.call("/keyed/", "b", testKey, "key")
 	f.Check(got.status, qt.Equals, http.StatusServiceUnavailable)
 	f.Check(got.header.Get("Retry-After"), qt.Not(qt.Equals), "")
-	// What may be known by now is not denied.
+	// A key or route that a newer configuration may have is not denied.
 	f.Check(f.call("/keyed/", "c", testKey, "new").status, qt.Equals, http.StatusServiceUnavailable)
 	f.Check(f.call("/nowhere/", "d").status, qt.Equals, http.StatusServiceUnavailable)
 	f.Check(f.call("/safe/", "e").status, qt.Equals, http.StatusOK)
@@ -91,9 +91,9 @@
 	f.Check(f.call("/keyed/", "f", testKey, "key").status, qt.Equals, http.StatusOK)
 }
 
-// A request whose server fails when the configuration is not known to be fresh
-// any more is not sent again, and ends at once.
-func TestNothingIsRepeatedOnOldKnowledge(t *testing.T) {
+// A request whose server fails when the configuration is no longer known to be current is not
+// retried, and ends at once.
+func TestNothingIsRetriedOnAStaleConfiguration(t *testing.T) {
 	slow := func(io.Writer, *http.Request) bool {
 		time.Sleep(600 * time.Millisecond)
 		return false
@@ -129,9 +129,8 @@
 	f.Fatalf("no %d from %s", want, path)
 }
 
-// A request that may run once is sent to another server only when the first
-// one certainly did not run it; otherwise its outcome is unknown, and no
-// refusal.
+// A request that may run only once is sent to another server only if the first one certainly
+// did not run it; otherwise its outcome is unknown, which is not a refusal.
 func TestARequestThatMayRunOnceRunsOnce(t *testing.T) {
 	for name, tc := range map[string]struct {
 		run  func(w io.Writer, req *http.Request) bool
@@ -163,9 +162,9 @@
 	}
 }
 
-// An idempotent request whose answer breaks off is repeated, and the caller
-// gets the whole answer of one run.
-func TestABrokenAnswerIsRepeatedWhole(t *testing.T) {
+// An idempotent request whose answer breaks off is retried, and the caller gets the whole
+// answer of one run.
+func TestABrokenAnswerIsRetriedWhole(t *testing.T) {
 	for _, head := range []string{"Content-Length: 9\r\n", "", "Transfer-Encoding: chunked\r\n"} {
 		var once sync.Once
 		run := func(w io.Writer, req *http.Request) bool {
@@ -191,7 +190,7 @@
 	}
 }
 
-func TestAStreamIsPassedOnWhole(t *testing.T) {
+func TestAStreamIsRelayedWhole(t *testing.T) {
 	f := start(t, testConfig(1), newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool { return events(w, req, 5, time.Millisecond, false) }))
 	got := f.call("/stream/", "r")
 	f.Check(got.err, qt.IsNil)
@@ -206,8 +205,8 @@
 	return b.String()
 }
 
-// A stream that may not run again is visibly cut when its server breaks off;
-// one that may goes on at another server after the last whole event.
+// A stream that may not run again is visibly cut when its server breaks it off; one that may
+// continues at another server after the last whole event.
 func TestABrokenStream(t *testing.T) {
 	run := func(w io.Writer, req *http.Request) bool {
 		if req.Header.Get(testLast) == "" {
@@ -226,8 +225,8 @@
 	f.Check(len(a.runs())+len(b.runs()), qt.Equals, 3)
 }
 
-// The final answer comes at the route's timeout, and the server is told less
-// time than the caller has left.
+// The final answer comes at the route's timeout, and the time that the server is given is
+// shorter than the caller's.
 func TestTheFinalAnswerComesAtTheTimeout(t *testing.T) {
 	f := start(t, testConfig(1), newBackend(t, "i-1", func(io.Writer, *http.Request) bool {
 		time.Sleep(time.Second)
@@ -240,8 +239,8 @@
 	f.Check(took > 140*time.Millisecond && took < 400*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
 }
 
-// A caller that leaves ends the work at the server.
-func TestACallerThatLeavesEndsTheRun(t *testing.T) {
+// A caller's disconnection cancels the run at the server.
+func TestACallersDisconnectionCancelsTheRun(t *testing.T) {
 	ended := make(chan struct{})
 	b := newBackend(t, "i-1", func(w io.Writer, _ *http.Request) bool {
 		_, _ = w.(net.Conn).Read(make([]byte, 1))
@@ -262,12 +261,12 @@
 	select {
 	case <-ended:
 	case <-time.After(2 * time.Second):
-		f.Fatal("the server is still at work")
+		f.Fatal("the server still runs the request")
 	}
 }
 
-// Servers that drain or whose entries are removed get nothing more.
-func TestLeavingServersGetNoWork(t *testing.T) {
+// Servers that are draining or whose entries are removed receive no new requests.
+func TestDrainingServersReceiveNoRequests(t *testing.T) {
 	a, b := newBackend(t, "i-1", ok), newBackend(t, "i-2", ok)
 	f := start(t, testConfig(1), a, b)
 	leaving := servers(a)[0]
@@ -283,9 +282,9 @@
 	f.Check(f.call("/safe/", "last").status, qt.Equals, http.StatusServiceUnavailable)
 }
 
-// A planned stop: not ready at once, new work is still taken for a while,
-// kept connections are told to close, and what runs ends whole.
-func TestAPlannedStopCutsNothing(t *testing.T) {
+// During a planned shutdown the router is unready at once, still accepts new requests for a
+// while, asks callers to close kept connections, and completes the requests in flight.
+func TestAPlannedShutdownCutsNothing(t *testing.T) {
 	b := newBackend(t, "i-1", func(w io.Writer, req *http.Request) bool { return events(w, req, 10, 20*time.Millisecond, false) })
 	f := start(t, testConfig(1), b)
 	running := make(chan reply, 1)
@@ -305,9 +304,9 @@
 	f.Check(got.body, qt.Equals, eventsText(1, 10))
 }
 
-// While a router leaves, streams are refused, as they may outlast it; short
-// requests are served to the end.
-func TestALeavingRouterServesShortRequests(t *testing.T) {
+// While a router shuts down, it refuses streams, as they may outlast it, and serves short
+// requests until the end.
+func TestARouterThatShutsDownServesShortRequests(t *testing.T) {
 	long := func(w io.Writer, req *http.Request) bool {
 		if req.URL.Path == "/safe/" {
 			return ok(w, req)
@@ -319,7 +318,7 @@
 	go func() { running <- f.call("/stream/", "r1") }()
 	time.Sleep(30 * time.Millisecond)
 	close(f.stop)
-	for !f.router.leaving.Load() {
+	for !f.router.shuttingDown.Load() {
 		time.Sleep(5 * time.Millisecond)
 	}
 	refused := f.call("/stream/", "r2")
@@ -329,45 +328,45 @@
 	f.Check((<-running).err, qt.IsNil)
 }
 
-// Routers that hear that another one has newer knowledge take it from there,
-// and only when its word answers a message of their own does it count as fresh.
-func TestKnowledgeComesFromAnotherRouter(t *testing.T) {
+// A router that learns that another one has a newer revision fetches it from there, and the
+// revision counts as current only if the other router's message answers one of its own.
+func TestChangesAreFetchedFromAPeer(t *testing.T) {
 	b := newBackend(t, "i-1", ok)
 	watcher := startPeer(t, "watcher", testConfig(1), b)
 	follower := startPeer(t, "follower", testConfig(1), b)
 	follower.source.setDown(true)
-	follower.meet(watcher)
-	watcher.meet(follower)
+	follower.registerPeer(watcher)
+	watcher.registerPeer(follower)
 	c := testConfig(9)
 	c.Teams[0].Keys = []string{"new"}
 	watcher.source.changes <- mirror.Delta{Config: c, Revision: 50, Joined: map[string]mirror.Registration{
 		"follower": {Address: follower.set.Listen.Peers}, "watcher": {Address: watcher.set.Listen.Peers},
 	}}
 	follower.waitStatus("/keyed/", "new", http.StatusOK)
-	// The store stays away for longer than the bound; the watcher's word keeps
-	// the follower fresh.
+	// The store is unavailable for longer than the bound; the watcher's confirmation keeps the
+	// follower fresh.
 	time.Sleep(800 * time.Millisecond)
 	follower.Check(follower.call("/keyed/", "x", testKey, "new").status, qt.Equals, http.StatusOK)
 	follower.Check(follower.call("/keyed/", "y", testKey, "key").status, qt.Equals, http.StatusUnauthorized)
-	// It serves who comes, and asks the balancer to send callers elsewhere.
-	time.Sleep(cutReady)
+	// It serves callers that come, and asks the load balancer to send callers elsewhere.
+	time.Sleep(partitionedReadyTime)
 	follower.Check(follower.ready(), qt.Equals, http.StatusServiceUnavailable)
-	// Without the watcher the follower stops.
+	// Without the watcher the follower stops serving.
 	watcher.end()
 	time.Sleep(800 * time.Millisecond)
 	follower.Check(follower.call("/keyed/", "z", testKey, "new").status, qt.Equals, http.StatusServiceUnavailable)
 }
 
-// Every call of the store is paid for: a router to which others tell what is
-// new makes none, however many changes there are.
-func TestAFollowerDoesNotAskTheStore(t *testing.T) {
+// Every call to the store is paid for: a router that other routers keep up to date makes none,
+// however many changes there are.
+func TestAFollowerDoesNotCallTheStore(t *testing.T) {
 	b := newBackend(t, "i-1", ok)
 	routers := []*fixture{startPeer(t, "a", testConfig(1), b), startPeer(t, "b", testConfig(1), b), startPeer(t, "c", testConfig(1), b)}
 	ids := make([]string, len(routers))
 	for i, one := range routers {
 		ids[i] = one.set.ID
 		for _, other := range routers {
-			one.meet(other)
+			one.registerPeer(other)
 		}
 	}
 	watchers := watchduty.DefaultConfig().Chosen(ids)
@@ -385,18 +384,18 @@
 	follower.Check(follower.source.counted()-before, qt.Equals, 0)
 }
 
-// A watcher that the store turns away goes on to repeat its last word; only a new
-// one counts as told, or every router would wait for its patience to learn what
-// changed (DRAIN on lanna-glyph scale-2, both watchers turned away).
-func TestARepeatedWordIsNoNewOne(t *testing.T) {
+// A watcher that the store refuses repeats its last confirmation; only a new one may count as
+// received, or every router would wait its full wait time to learn what changed. It happened
+// when both watchers of a small site were refused.
+func TestARepeatedConfirmationIsNotNew(t *testing.T) {
 	set := settings.DefaultDirect()
 	set.ID = "follower"
 	r := New(set, Config{Admission: admission.DefaultConfig(), Roster: roster.DefaultConfig(), Staleness: staleness.DefaultConfig(), Freshness: time.Second}, &testSource{}, testDialect{}, log.NewNopLogger())
 	seq := uint32(0)
 	tell := func(heard uint32) time.Duration {
 		seq++
-		r.hear(digest.Message{Router: "watcher", Seq: seq, Heard: heard, Revision: 1})
-		return r.toldAt
+		r.receiveMessage(digest.Message{Router: "watcher", Seq: seq, Heard: heard, Revision: 1})
+		return r.confirmedAt
 	}
 	r.witness.Sent(7, bootTime())
 	first := tell(7)
@@ -408,32 +407,30 @@
 	qt.Check(t, tell(8) > first, qt.IsTrue)
 }
 
-// Pattern: a router with more work than its processor can do must still learn at
-// once that a server leaves. Ground: a call of another router took longer than
-// its bound there, for seconds (DRAIN on plgc-port-grown scale-1). One message
-// brings the change; no call is made.
-func TestChangesComeWithTheNextMessage(t *testing.T) {
+// A saturated router must still learn at once that a server is draining. A call to another
+// router took longer than its timeout there, for seconds. One message brings the change, and
+// no call is made.
+func TestChangesAreAttachedToTheNextMessage(t *testing.T) {
 	b := newBackend(t, "i-1", ok)
 	watcher, follower := startPeer(t, "a", testConfig(1), b), startPeer(t, "b", testConfig(1), b)
 	follower.source.setDown(true)
-	watcher.meet(follower)
-	follower.meet(watcher)
+	watcher.registerPeer(follower)
+	follower.registerPeer(watcher)
 	watcher.source.changes <- mirror.Delta{Revision: 10, Servers: []roster.Server{{ID: "i-1", Address: b.address, Service: "app", Slots: 8, Draining: true}}}
-	for n := 0; follower.router.metrics.passed.Value() == 0 && n < 100; n++ {
+	for n := 0; follower.router.metrics.attachedApplied.Value() == 0 && n < 100; n++ {
 		time.Sleep(5 * time.Millisecond)
 	}
-	follower.Check(follower.router.metrics.passed.Value(), qt.Equals, int64(1))
+	follower.Check(follower.router.metrics.attachedApplied.Value(), qt.Equals, int64(1))
 	follower.Check(follower.call("/safe/", "r").status, qt.Equals, http.StatusServiceUnavailable)
 	follower.Check(follower.router.metrics.peerReads.Value(), qt.Equals, int64(0))
-	// What is older than what is known changes nothing.
+	// Changes older than the router's revision have no effect.
 	follower.router.update(mirror.Delta{Revision: 9, Servers: servers(b)})
 	follower.Check(follower.call("/safe/", "r2").status, qt.Equals, http.StatusServiceUnavailable)
 }
 
-// A router that begins while the store does not answer takes a configuration
-// from a seed and serves what needs no key; keys wait until it is known to be
-// the newest.
-func TestARouterBeginsByASeed(t *testing.T) {
+// A router that starts while the store does not answer takes a configuration from a seed and
+// serves what needs no key; keys are refused until the configuration is confirmed as current.
+func TestARouterStartsFromASeed(t *testing.T) {
 	b := newBackend(t, "i-1", ok)
 	seed := startPeer(t, "seed", testConfig(3), b)
 	begun := startWith(t, nil, func(set *settings.Direct, source *testSource) {
@@ -445,7 +442,7 @@
 	begun.Check(begun.ready(), qt.Equals, http.StatusServiceUnavailable)
 }
 
-// waitVersion waits until the version is in force.
+// waitVersion waits until the configuration version is in force.
 func (f *fixture) waitVersion(version uint64) {
 	for range 300 {
 		if t := f.router.table.Load(); t != nil && t.Version() == version {
@@ -456,15 +453,15 @@
 	f.Fatalf("version %d is not in force", version)
 }
 
-// meet registers the other router here.
-func (f *fixture) meet(other *fixture) {
+// registerPeer registers the other router at this one.
+func (f *fixture) registerPeer(other *fixture) {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
 	f.router.peers[other.set.ID] = mirror.Registration{Address: other.set.Listen.Peers}
 	f.router.countRouters()
 }
 
-// Every metric is on the page, and the text form holds its numbers.
+// Every metric is in the documentation, and the text form contains its values.
 func TestMetricsAreDocumented(t *testing.T) {
 	f := start(t, testConfig(1), newBackend(t, "i-1", ok))
 	f.call("/safe/", "r")
@@ -481,7 +478,7 @@
 
 // stalled is a reader of the log that reads nothing until it is released.
 type stalled struct {
-	// entered is closed by the first write, which waits from then on.
+	// entered is closed by the first write, which blocks from then on.
 	entered, released chan struct{}
 	once              sync.Once
 }
@@ -493,8 +490,8 @@
 	return len(line), nil
 }
 
-// A reader of standard output that stalls costs lines, which are counted, and
-// slows no request.
+// A reader of standard output that stalls costs log lines, which are counted, and slows no
+// request.
 func TestAStalledReaderOfLogsSlowsNoRequest(t *testing.T) {
 	reader := &stalled{entered: make(chan struct{}), released: make(chan struct{})}
 	defer close(reader.released)
@@ -502,8 +499,8 @@
 	logger := observe.NewLogger(lines, "direct", "r", settings.Log{Level: settings.LogInfo})
 	f := startLogged(t, testConfig(1), logger, func(*settings.Direct, *testSource) {}, newBackend(t, "i-1", ok))
 	f.router.CountLost(lines.Dropped)
-	// The writer waits for its reader before the queue is filled: a batch that
-	// it took afterwards would leave room for a thousand lines.
+	// The writer must block on its reader before the queue is filled: a batch that it took
+	// afterwards would leave room for a thousand lines.
 	f.router.event("filler")
 	<-reader.entered
 	// More lines than any queue holds.
@@ -526,7 +523,7 @@
 	f.Check(w.Body.String(), qt.Contains, "log_lines_lost ")
 }
 
-// Each hop of a request has a span: its reception and each call of a server.
+// Each hop of a request has a span: its reception and each call to a server.
 func TestEachHopHasASpan(t *testing.T) {
 	kept := tracetest.NewInMemoryExporter()
 	tracer := observe.TracerTo(kept, "direct", "r", 1)
@@ -542,15 +539,15 @@
 	f.Check(names, qt.Contains, observe.SpanBackend)
 }
 
-// A timeout of a router that reads late says nothing about the server; a
-// refused connection always does.
-func TestALateRouterDoesNotBlameServers(t *testing.T) {
+// A timeout at a router that reads late is not counted against the server; a refused
+// connection always is.
+func TestATimeoutAtALateRouterIsNotCountedAgainstServers(t *testing.T) {
 	f := start(t, testConfig(1))
 	timeout := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	refused := &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 	ctx := context.Background()
 	f.Check(f.router.unreached(ctx, timeout), qt.Equals, health.Unreachable)
-	f.router.load.late.Store(int64(2 * leftLate))
+	f.router.load.meanLateness.Store(int64(2 * disconnectCheckLateness))
 	f.Check(f.router.unreached(ctx, timeout), qt.Equals, health.NoResult)
 	f.Check(f.router.unreached(ctx, refused), qt.Equals, health.Unreachable)
 }
--- a/transport/direct/follow.go
+++ b/transport/direct/follow.go
@@ -12,11 +12,11 @@
 	"goldcrestport/transport/platform"
 )
 
-// follow keeps the configuration and the servers as the store has them.
+// follow keeps the configuration and the servers up to date with the store.
 func (r *Router) follow(ctx context.Context) {
 	f := &follower{r: r, duty: watchduty.DefaultConfig()}
 	for ctx.Err() == nil {
-		if !f.asks() {
+		if !f.queriesStore() {
 			f.await(ctx)
 			continue
 		}
@@ -25,14 +25,14 @@
 			continue
 		}
 		if r.table.Load() == nil {
-			// The whole fleet and its servers may be starting: what they write
-			// meanwhile is read together.
+			// The whole fleet and its servers may be starting, so what they write meanwhile is
+			// read in one call.
 			sleep(ctx, startPause)
 		}
 	}
 }
 
-// sleep waits, or until ctx ends.
+// sleep waits for the duration or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -40,35 +40,34 @@
 	}
 }
 
-// follower is the state of the duty that reads the store.
+// follower is the state of the task that reads the store.
 type follower struct {
-	r      *Router
-	duty   watchduty.Config
-	loaded time.Time
-	lost   bool
-	// nextTry is when a router that is cut off from the store tries it again.
+	r                *Router
+	duty             watchduty.Config
+	loaded           time.Time
+	storeUnavailable bool
+	// nextTry is when a router that cannot reach the store tries it again.
 	nextTry time.Time
-	// catchUp tells that other routers know of changes that this one does not.
+	// catchUp means that other routers have changes that this one lacks.
 	catchUp bool
-	// wanted tells that a request could not be sent for want of young knowledge.
-	wanted bool
+	// infoWanted means that a request waits for more recent information.
+	infoWanted bool
 }
 
-// asks reports whether this router asks the store now, or relies on others.
-func (f *follower) asks() bool {
-	if f.r.known() == 0 || f.catchUp || f.wanted || f.retries() {
+// queriesStore reports whether this router queries the store now, or relies on other routers.
+func (f *follower) queriesStore() bool {
+	if f.r.knownRevision() == 0 || f.catchUp || f.infoWanted || f.isRetryDue() {
 		return true
 	}
 	now := bootTime()
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
-	k := watchduty.Knowledge{SinceUpdate: now - f.r.toldAt}
+	k := watchduty.Knowledge{SinceUpdate: now - f.r.confirmedAt}
 	k.Age, k.Known = f.r.fresh.Age(now)
 	return f.duty.ShouldPoll(f.r.set.ID, f.r.routers(), k)
 }
 
-// routers returns the ids of all routers, this one's with them. The caller
-// holds mu.
+// routers returns the ids of all routers, including this one. The caller holds mu.
 func (r *Router) routers() []string {
 	ids := slices.Collect(maps.Keys(r.peers))
 	if _, listed := r.peers[r.set.ID]; !listed {
@@ -77,21 +76,21 @@
 	return ids
 }
 
-// retries reports whether the store is due another try after it did not answer:
-// other routers may still tell what is new, but not for ever.
-func (f *follower) retries() bool {
-	return f.r.cutSince.Load() != 0 && !time.Now().Before(f.nextTry)
+// isRetryDue reports whether a store that did not answer is due another try: other routers may
+// still send updates, but not forever.
+func (f *follower) isRetryDue() bool {
+	return f.r.storeSilentSince.Load() != 0 && !time.Now().Before(f.nextTry)
 }
 
-// await waits until others tell of changes, for a moment at most.
+// await waits for other routers to report changes, for awaitInterval at most.
 func (f *follower) await(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(awaitStep):
-	case <-f.r.wanted:
-		f.wanted = true
-	case <-f.r.behind:
-		// What is written in quick succession is read together.
+	case <-time.After(awaitInterval):
+	case <-f.r.infoWanted:
+		f.infoWanted = true
+	case <-f.r.catchUpNeeded:
+		// Changes that are written in quick succession are read together.
 		time.Sleep(catchUpDelay)
 		f.catchUp = true
 	}
@@ -99,29 +98,29 @@
 
 // step reads everything, or waits once for changes.
 func (f *follower) step(ctx context.Context) error {
-	if f.catchUp && f.r.known() > 0 {
+	if f.catchUp && f.r.knownRevision() > 0 {
 		f.catchUp = false
-		if err := f.askPeer(ctx); err == nil {
+		if err := f.fetchFromPeer(ctx); err == nil {
 			f.r.metrics.peerReads.Add(1)
 			return nil
 		}
-		if !f.stale() {
+		if !f.needsFullRead() {
 			return f.changes(ctx, catchUpWait)
 		}
 	}
-	if f.stale() {
+	if f.needsFullRead() {
 		return f.load(ctx)
 	}
-	if f.wanted {
-		f.wanted = false
-		return f.changes(ctx, wantedWait)
+	if f.infoWanted {
+		f.infoWanted = false
+		return f.changes(ctx, urgentWait)
 	}
-	return f.changes(ctx, f.patience())
+	return f.changes(ctx, f.changesWait())
 }
 
-// patience is how long this router waits for changes: one of those that watch
-// for all waits long, another one asks only to know at once what is new.
-func (f *follower) patience() time.Duration {
+// changesWait is how long this router waits for changes: a router chosen to watch for all waits
+// long, any other one only fetches what is already available.
+func (f *follower) changesWait() time.Duration {
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
 	if f.r.table.Load() == nil || slices.Contains(f.duty.Chosen(f.r.routers()), f.r.set.ID) {
@@ -130,20 +129,22 @@
 	return catchUpWait
 }
 
-// stale reports whether everything must be read.
-func (f *follower) stale() bool { return f.r.known() == 0 || time.Since(f.loaded) > resyncEvery }
+// needsFullRead reports whether everything must be read.
+func (f *follower) needsFullRead() bool {
+	return f.r.knownRevision() == 0 || time.Since(f.loaded) > resyncInterval
+}
 
 func (f *follower) load(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	heard, sent := f.r.hearing(), bootTime()
+	lastSeqs, sent := f.r.lastHeard(), bootTime()
 	s, err := f.r.source.Load(ctx)
 	if err != nil {
 		return err
 	}
-	f.worked(sent)
+	f.storeAnswered(sent)
 	f.r.replace(s)
-	f.r.confirm(s.Config, sent, vouching{heard, s.Revision})
+	f.r.confirm(s.Config, sent, confirmation{lastSeqs, s.Revision})
 	f.loaded = time.Now()
 	return nil
 }
@@ -151,19 +152,19 @@
 func (f *follower) changes(ctx context.Context, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
-	heard, sent := f.r.hearing(), bootTime()
-	after := f.r.known()
+	lastSeqs, sent := f.r.lastHeard(), bootTime()
+	after := f.r.knownRevision()
 	d, err := f.r.source.Changes(ctx, after, wait)
 	if err != nil {
-		// A wait that was cut may have missed changes. What other routers
-		// tell goes on from what is known.
+		// An interrupted wait may have missed changes. Updates from other routers continue
+		// from the known revision.
 		f.loaded = time.Time{}
 		return err
 	}
-	f.worked(sent)
+	f.storeAnswered(sent)
 	f.r.update(d)
-	f.r.pass(after, d)
-	f.r.confirm(d.Config, sent, vouching{heard, d.Revision})
+	f.r.attachChanges(after, d)
+	f.r.confirm(d.Config, sent, confirmation{lastSeqs, d.Revision})
 	return nil
 }
 
@@ -176,62 +177,62 @@
 	if ctx.Err() != nil {
 		return
 	}
-	if f.r.known() == 0 {
-		f.askSeeds(ctx)
+	if f.r.knownRevision() == 0 {
+		f.fetchFromSeeds(ctx)
 	}
-	f.nextTry = time.Now().Add(retryEvery)
-	f.r.cutSince.CompareAndSwap(0, int64(bootTime()))
+	f.nextTry = time.Now().Add(partitionedRetryInterval)
+	f.r.storeSilentSince.CompareAndSwap(0, int64(bootTime()))
 	f.storeLost(err)
 	select {
-	case <-time.After(storePause):
-	case <-f.r.behind:
+	case <-time.After(storeRetryPause):
+	case <-f.r.catchUpNeeded:
 		f.catchUp = true
 	case <-ctx.Done():
 	}
 }
 
-// storeLost notes that the store does not answer this router. Entries may lapse from
-// now on, unless others say that it answers them.
+// storeLost records that the store does not answer this router. Entries may lapse from now on,
+// unless others report that the store answers them.
 func (f *follower) storeLost(err error) {
-	if f.ownFault(err) {
+	if f.isOwnTimeout(err) {
 		return
 	}
 	now := bootTime()
 	f.r.mu.Lock()
-	if !f.lost || now-f.r.toldAt > othersSilent {
-		f.r.lostAt = now
+	if !f.storeUnavailable || now-f.r.confirmedAt > peerSilenceLimit {
+		f.r.storeLostAt = now
 		f.r.roster.StoreLost()
 	}
 	f.r.mu.Unlock()
-	if !f.lost {
-		f.lost = true
+	if !f.storeUnavailable {
+		f.storeUnavailable = true
 		f.r.event("store_lost", "err", err)
 	}
 }
 
-// ownFault reports whether a timeout is most likely this router's own: a
-// saturated one reads answers seconds late. To take that for an outage of the
-// store would keep servers whose entries are gone because they left.
-func (f *follower) ownFault(err error) bool {
+// isOwnTimeout reports whether a timeout is most likely this router's own: a saturated router
+// reads answers seconds late. Treating that as an outage of the store would keep servers whose
+// entries are gone because they shut down.
+func (f *follower) isOwnTimeout(err error) bool {
 	return f.r.load.saturated.Load() && errors.Is(err, context.DeadlineExceeded)
 }
 
-// worked notes that the store answered a call of this router that was sent at the reading of
-// bootTime.
-func (f *follower) worked(sent time.Duration) {
-	f.r.cutSince.Store(0)
+// storeAnswered records that the store answered a call of this router that was sent at the given
+// reading of bootTime.
+func (f *follower) storeAnswered(sent time.Duration) {
+	f.r.storeSilentSince.Store(0)
 	f.storeBack(false, sent)
 }
 
-// storeBack notes that what the store holds is known again, from it or from
-// another router, which may know that it was sound all the while. It answered at the reading
-// of bootTime.
+// storeBack records that the store's contents are known again, from the store or from another
+// router, which may report that the store was available throughout. The store answered at the
+// given reading of bootTime.
 func (f *follower) storeBack(sound bool, at time.Duration) {
-	if !f.lost {
+	if !f.storeUnavailable {
 		return
 	}
-	f.lost = false
-	f.r.event("store_back", "own", f.r.cutSince.Load() == 0)
+	f.storeUnavailable = false
+	f.r.event("store_back", "own", f.r.storeSilentSince.Load() == 0)
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
 	if sound {
--- a/transport/direct/passon_test.go
+++ b/transport/direct/forward_test.go
@@ -15,14 +15,14 @@
 	"goldcrestport/protocol/settings"
 )
 
-// neighbour is another router of the fleet, of which the test plays the messages.
+// neighbour is another router of the fleet, simulated by the test.
 type neighbour struct {
 	id   string
 	conn *net.UDPConn
 }
 
-// say sends a message to the router under test.
-func (n *neighbour) say(c *qt.C, f *fixture, dataCentre string, seq uint32) {
+// sendMessage sends a message to the router under test.
+func (n *neighbour) sendMessage(c *qt.C, f *fixture, dataCentre string, seq uint32) {
 	n.send(c, f, digest.Append(nil, digest.Message{Router: n.id, Seq: seq, DataCentre: digest.DataCentreOf(dataCentre), PassesOn: true}))
 }
 
@@ -33,9 +33,9 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// hears returns the messages of a router that come in the time, and how many of them
-// came to be passed on.
-func (n *neighbour) hears(router string, within time.Duration) (out []digest.Message, passOn int) {
+// receive returns the messages of a router that arrive within the time, and how many of them
+// were to be forwarded.
+func (n *neighbour) receive(router string, within time.Duration) (out []digest.Message, passOn int) {
 	buf := make([]byte, maxDatagram)
 	_ = n.conn.SetReadDeadline(time.Now().Add(within))
 	for {
@@ -54,8 +54,8 @@
 	}
 }
 
-// playNeighbours starts a router that knows of the others.
-func playNeighbours(t *testing.T, ids ...string) (*fixture, map[string]*neighbour) {
+// startWithNeighbours starts a router that knows the simulated neighbours.
+func startWithNeighbours(t *testing.T, ids ...string) (*fixture, map[string]*neighbour) {
 	c := qt.New(t)
 	all := map[string]*neighbour{}
 	joined := map[string]mirror.Registration{}
@@ -73,23 +73,23 @@
 	return f, all
 }
 
-// A message of another data centre's router that is to be passed on goes to the routers
-// of this data centre, each with what is said to it, and to nobody else.
-func TestAMessageIsPassedOnInItsDataCentre(t *testing.T) {
-	f, all := playNeighbours(t, "near-1", "near-2", "far-1", "far-2")
+// A message to be forwarded from another data centre's router goes to the routers of this data
+// centre, each with its own part of the message, and to no other router.
+func TestAMessageIsForwardedInItsDataCentre(t *testing.T) {
+	f, all := startWithNeighbours(t, "near-1", "near-2", "far-1", "far-2")
 	for _, n := range all {
 		dataCentre := "there"
 		if strings.HasPrefix(n.id, "near") {
 			dataCentre = "here"
 		}
-		n.say(f.C, f, dataCentre, 1)
+		n.sendMessage(f.C, f, dataCentre, 1)
 	}
 	time.Sleep(300 * time.Millisecond)
 	message := digest.Append(nil, digest.Message{Router: "far-1", Seq: 2, DataCentre: digest.DataCentreOf("there"), PassesOn: true})
 	heard := map[digest.Router]uint32{digest.RouterOf("near-1"): 7, digest.RouterOf("near-2"): 8}
 	all["far-1"].send(f.C, f, digest.AppendPassOn(nil, digest.PassOn{Heard: heard, Revision: 2, Message: message}))
 	for id, n := range all {
-		got, _ := n.hears("far-1", 300*time.Millisecond)
+		got, _ := n.receive("far-1", 300*time.Millisecond)
 		if strings.HasPrefix(id, "far") {
 			f.Check(got, qt.HasLen, 0, qt.Commentf("%s", id))
 			continue
@@ -101,22 +101,22 @@
 	}
 }
 
-// Pattern: a data centre of many routers. A digest crosses to it once or, with a word of
-// the store's, twice, by routers that take turns; watchers hear each directly.
-func TestADigestCrossesOnce(t *testing.T) {
+// In a data centre of many routers, a digest is sent there once or, with a confirmation by the
+// store, twice, through routers that take turns; watchers receive each digest directly.
+func TestADigestIsSentOncePerDataCentre(t *testing.T) {
 	var ids []string
 	for i := range 10 {
 		ids = append(ids, fmt.Sprintf("far-%d", i))
 	}
-	f, all := playNeighbours(t, ids...)
+	f, all := startWithNeighbours(t, ids...)
 	crossed := map[uint32]int{}
 	passers := map[string]bool{}
 	for round := range 8 {
 		for _, n := range all {
-			n.say(f.C, f, "there", uint32(round+1))
+			n.sendMessage(f.C, f, "there", uint32(round+1))
 		}
 		for id, n := range all {
-			got, passOn := n.hears("self", 30*time.Millisecond)
+			got, passOn := n.receive("self", 30*time.Millisecond)
 			for _, m := range got {
 				crossed[m.Seq]++
 			}
@@ -127,11 +127,11 @@
 	}
 	few := 0
 	for _, times := range crossed {
-		if times <= vouchCopies+watchduty.DefaultConfig().Watchers {
+		if times <= confirmationCopies+watchduty.DefaultConfig().Watchers {
 			few++
 		}
 	}
-	// The first ones went out before anyone was heard.
+	// The first ones were sent before a message of any router was received.
 	f.Check(few > 5, qt.IsTrue, qt.Commentf("%v", crossed))
-	f.Check(len(passers) > 2, qt.IsTrue, qt.Commentf("%d routers were asked to pass on", len(passers)))
+	f.Check(len(passers) > 2, qt.IsTrue, qt.Commentf("%d routers were asked to forward", len(passers)))
 }
--- a/transport/direct/place.go
+++ b/transport/direct/place.go
@@ -8,8 +8,8 @@
 	"goldcrestport/protocol/outcome"
 )
 
-// place asks where the request goes, once more if it was sent before.
-func (c *call) place() admission.Decision {
+// placeRequest asks the admission for a server, again if the request was sent before.
+func (c *call) placeRequest() admission.Decision {
 	req := admission.Request{
 		Service: c.service, Team: c.team, Class: c.route.Name, Prompt: c.meta.Prompt, Output: c.meta.Output, SharedPrefixes: c.meta.Shared,
 		Objective: c.route.Objective, Elapsed: c.elapsed, Avoid: c.avoid, Homes: c.homes(), Repeatable: c.route.MayRepeat(), Sent: c.sent > 0, Counted: c.tokens > 0, MayHaveRun: c.reached > 0,
@@ -17,12 +17,12 @@
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
 	if c.r.warmup.Any() {
-		c.r.warmup.SetRegistered(c.r.member.stands(bootTime()))
+		c.r.warmup.SetRegistered(c.r.member.isValid(bootTime()))
 	}
 	return c.r.admission.Place(time.Now(), req)
 }
 
-// homes are the lists of regions to which the route and the team bind the request.
+// homes returns the lists of regions to which the route and the team restrict the request.
 func (c *call) homes() [][]string {
 	var all [][]string
 	if len(c.route.Homes) > 0 {
@@ -34,19 +34,19 @@
 	return all
 }
 
-// unplaced ends a request for which no server was found.
-func (c *call) unplaced(d admission.Decision) {
+// refuseUnplaced ends a request for which no server was found.
+func (c *call) refuseUnplaced(d admission.Decision) {
 	switch {
-	case c.begun:
-		c.cut("no_server")
+	case c.answerBegun:
+		c.abortAnswer("no_server")
 	case c.reached > 0:
 		c.fail(outcome.ReasonBackend, http.StatusBadGateway, "the answer was lost and no further server is free")
 	case d.Verdict == admission.Refuse && d.Cold:
-		c.refuse(*notRun(outcome.ReasonQueueFull, d.RetryAfter, "the backend servers are cold and get as much as they bear"))
+		c.refuse(*notRun(outcome.ReasonQueueFull, d.RetryAfter, "the backend servers are cold and receive as much as they can handle"))
 	case d.Verdict == admission.Refuse && d.Reason == admission.ReasonBackoff:
-		c.refuse(*notRun(outcome.ReasonBackoff, d.RetryAfter, "the backend servers asked for no requests until then"))
+		c.refuse(*notRun(outcome.ReasonBackoff, d.RetryAfter, "the backend servers requested a back-off until then"))
 	case d.Verdict == admission.Refuse:
-		c.refuse(*notRun(outcome.ReasonQueueFull, d.RetryAfter, "no backend server can begin in time"))
+		c.refuse(*notRun(outcome.ReasonQueueFull, d.RetryAfter, "no backend server can start the request in time"))
 	default:
 		c.refuse(*notRun(outcome.ReasonNoBackend, d.RetryAfter, "no backend server is known"))
 	}
--- a/transport/direct/ready.go
+++ b/transport/direct/ready.go
@@ -9,7 +9,7 @@
 	"goldcrestport/transport/observe"
 )
 
-// ready returns nil, or why no new work is wanted.
+// ready returns nil, or why the router should receive no new requests.
 func (r *Router) ready() error {
 	if r.unready.Load() {
 		return errors.New("leaving")
@@ -17,22 +17,22 @@
 	if r.table.Load() == nil {
 		return errors.New("no configuration yet")
 	}
-	if r.load.away.Load() {
-		return errors.New("the processor has too much work")
+	if r.load.outOfRotation.Load() {
+		return errors.New("the processor is saturated")
 	}
-	if r.full() {
-		return errors.New("every place for a connection is taken")
+	if r.isFull() {
+		return errors.New("the maximum number of callers' connections is open")
 	}
 	now := bootTime()
-	if cut := time.Duration(r.cutSince.Load()); cut != 0 && now-cut > cutReady {
+	if cut := time.Duration(r.storeSilentSince.Load()); cut != 0 && now-cut > partitionedReadyTime {
 		return errors.Newf("the store has not answered this router for %v", now-cut)
 	}
 	r.mu.Lock()
 	age, known := r.fresh.Age(now)
-	bound := time.Duration(unreadyShare * float64(r.cfg.Freshness))
+	bound := time.Duration(unreadyFreshnessShare * float64(r.cfg.Freshness))
 	r.mu.Unlock()
 	if !known || age > bound {
-		return errors.Newf("the configuration was last known to be the newest %v ago", age)
+		return errors.Newf("the configuration was last confirmed as current %v ago", age)
 	}
 	return nil
 }
--- a/transport/direct/relay.go
+++ b/transport/direct/relay.go
@@ -16,28 +16,28 @@
 	"goldcrestport/transport/backend"
 )
 
-// pass passes an answer on to the caller.
-func (c *call) pass(ctx context.Context, answer *backend.Answer, reply Reply, events *eventstream.Follower) (step, health.Result, error) {
+// relay relays an answer to the caller.
+func (c *call) relay(ctx context.Context, answer *backend.Answer, reply Reply, events *eventstream.Follower) (step, health.Result, error) {
 	success := isSuccess(answer.Status)
 	switch {
-	case c.begun:
+	case c.answerBegun:
 		if !success || !reply.Marked {
 			return broken, health.Failure, errors.Newf("the stream could not be resumed: %d", answer.Status)
 		}
-		return c.passEvents(ctx, answer, events)
+		return c.relayEvents(ctx, answer, events)
 	case success && !reply.Marked:
-		return failed, health.Failure, errors.New("a success without the server's mark")
+		return failed, health.Failure, errors.New("success response without the server's mark")
 	case c.isStream(answer):
-		return c.passEvents(ctx, answer, events)
-	case answer.Length <= wholeBody:
-		return c.passWhole(ctx, answer, success)
+		return c.relayEvents(ctx, answer, events)
+	case answer.Length <= maxBufferedBody:
+		return c.relayWhole(ctx, answer, success)
 	default:
-		return c.passBytes(ctx, answer)
+		return c.relayBytes(ctx, answer)
 	}
 }
 
-// resultAfter judges a server whose answer broke off: a caller who left says nothing
-// about it, nor does its leaving.
+// resultAfter classifies a server whose answer broke off: neither a caller's disconnection nor
+// the server's own shutdown counts against it.
 func resultAfter(ctx context.Context, err error) health.Result {
 	if ctx.Err() != nil || errors.Is(err, backend.ErrServerLeft) {
 		return health.NoResult
@@ -45,33 +45,33 @@
 	return health.Failure
 }
 
-// errNotWhole is the failure of an answer that ended without an error and is not whole.
-var errNotWhole = errors.New("the answer ended before it was whole")
+// errNotWhole is the failure of an answer that ended without an error but is incomplete.
+var errNotWhole = errors.New("the answer ended before it was complete")
 
-// brokeOff returns what follows an answer that is not whole, and the error that it met: io.EOF
-// where it met none.
+// brokeOff returns the step after an incomplete answer, and its error: io.EOF stands for an
+// end without an error.
 func (c *call) brokeOff(ctx context.Context, err error) (step, health.Result, error) {
 	if errors.Is(err, io.EOF) {
 		err = errNotWhole
 	}
-	if c.begun {
+	if c.answerBegun {
 		return broken, resultAfter(ctx, err), err
 	}
 	return failed, resultAfter(ctx, err), err
 }
 
-// passWhole reads the answer to its end before any of it is passed on.
-func (c *call) passWhole(ctx context.Context, answer *backend.Answer, success bool) (step, health.Result, error) {
-	body, err := io.ReadAll(io.LimitReader(answer, wholeBody))
+// relayWhole reads the answer to its end before any of it is relayed.
+func (c *call) relayWhole(ctx context.Context, answer *backend.Answer, success bool) (step, health.Result, error) {
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBody))
 	if err != nil {
-		c.concluded(ctx, answer, nil)
+		c.judgeEnd(ctx, answer, nil)
 		return c.brokeOff(ctx, err)
 	}
-	if len(body) == wholeBody && answer.Length != wholeBody {
+	if len(body) == maxBufferedBody && answer.Length != maxBufferedBody {
 		c.head(answer, -1)
-		return c.passRest(ctx, answer, body)
+		return c.relayRest(ctx, answer, body)
 	}
-	if c.concluded(ctx, answer, nil) == completeness.Broken {
+	if c.judgeEnd(ctx, answer, nil) == completeness.Broken {
 		return c.brokeOff(ctx, io.EOF)
 	}
 	if !success && answer.Status >= http.StatusInternalServerError && c.mayRepeatError() {
@@ -79,48 +79,48 @@
 	}
 	c.head(answer, int64(len(body)))
 	_, _ = c.w.Write(body)
-	c.completed(answer)
+	c.answerCompleted(answer)
 	if success || answer.Status < http.StatusInternalServerError {
 		return done, health.Success, nil
 	}
 	return done, health.Failure, nil
 }
 
-// mayRepeatError reports whether an error of the server is worth a try at
-// another one; the last one's error is passed on as it is.
+// mayRepeatError reports whether a server's error should be retried at another server; the
+// last server's error is relayed unchanged.
 func (c *call) mayRepeatError() bool {
-	return c.route.MayRepeat() && c.reached < c.route.Attempts && c.sent < sends && c.left() > c.route.Objective/2 && c.r.otherServer(c)
+	return c.route.MayRepeat() && c.reached < c.route.Attempts && c.sent < maxSends && c.left() > c.route.Objective/2 && c.r.hasOtherServer(c)
 }
 
-// passBytes passes a long answer on as it comes.
-func (c *call) passBytes(ctx context.Context, answer *backend.Answer) (step, health.Result, error) {
+// relayBytes relays a long answer as it arrives.
+func (c *call) relayBytes(ctx context.Context, answer *backend.Answer) (step, health.Result, error) {
 	c.head(answer, answer.Length)
-	return c.passRest(ctx, answer, nil)
+	return c.relayRest(ctx, answer, nil)
 }
 
-func (c *call) passRest(ctx context.Context, answer *backend.Answer, first []byte) (step, health.Result, error) {
+func (c *call) relayRest(ctx context.Context, answer *backend.Answer, first []byte) (step, health.Result, error) {
 	_, _ = c.w.Write(first)
 	buf := make([]byte, relayBuffer)
 	for {
 		n, err := answer.Read(buf)
 		if n > 0 {
 			if _, writeErr := c.w.Write(buf[:n]); writeErr != nil {
-				return c.lostCaller(writeErr)
+				return c.callerLost(writeErr)
 			}
 		}
 		if err == nil {
 			continue
 		}
-		if c.concluded(ctx, answer, nil) == completeness.Broken {
+		if c.judgeEnd(ctx, answer, nil) == completeness.Broken {
 			return c.brokeOff(ctx, err)
 		}
-		c.completed(answer)
+		c.answerCompleted(answer)
 		return done, health.Success, nil
 	}
 }
 
-// passEvents passes whole events on as they arrive.
-func (c *call) passEvents(ctx context.Context, answer *backend.Answer, events *eventstream.Follower) (step, health.Result, error) {
+// relayEvents relays whole events as they arrive.
+func (c *call) relayEvents(ctx context.Context, answer *backend.Answer, events *eventstream.Follower) (step, health.Result, error) {
 	events.Restart()
 	flusher := http.NewResponseController(c.w)
 	buf := make([]byte, relayBuffer)
@@ -129,10 +129,10 @@
 		if n > 0 {
 			out, notNext := events.Take(buf[:n])
 			if writeErr := c.forward(flusher, answer, events, out); writeErr != nil {
-				return c.lostCaller(writeErr)
+				return c.callerLost(writeErr)
 			}
 			if notNext != nil {
-				c.concluded(ctx, answer, events)
+				c.judgeEnd(ctx, answer, events)
 				c.logBroken()
 				return c.brokeOff(ctx, notNext)
 			}
@@ -146,14 +146,14 @@
 	}
 }
 
-// leastGather is the shortest time worth a timer.
-const leastGather = 5 * time.Millisecond
+// minGather is the shortest delay for which a timer is worth its cost.
+const minGather = 5 * time.Millisecond
 
-// gather waits for further events, so that several go out in one write: on
-// small instances each write and wake-up costs more than the event.
+// gather waits for further events so that several are sent in one write: on small instances
+// each write and wake-up costs more than the event.
 func (c *call) gather(ctx context.Context) {
 	wait := c.r.gatherTime()
-	if wait < leastGather {
+	if wait < minGather {
 		return
 	}
 	timer := time.NewTimer(wait)
@@ -170,7 +170,7 @@
 	}
 	events.PassedOn(time.Now())
 	c.pause = events.Pause()
-	if !c.begun {
+	if !c.answerBegun {
 		c.head(answer, -1)
 	}
 	if _, err := c.w.Write(out); err != nil {
@@ -179,28 +179,28 @@
 	return flusher.Flush()
 }
 
-// streamEnded ends a stream that is whole.
+// streamEnded completes a stream that is whole, or handles one that broke off.
 func (c *call) streamEnded(ctx context.Context, answer *backend.Answer, events *eventstream.Follower, err error) (step, health.Result, error) {
-	if c.concluded(ctx, answer, events) == completeness.Broken {
+	if c.judgeEnd(ctx, answer, events) == completeness.Broken {
 		return c.brokeOff(ctx, err)
 	}
-	if !c.begun {
+	if !c.answerBegun {
 		c.head(answer, -1)
 	}
 	_, _ = c.w.Write(events.Rest())
-	c.completed(answer)
+	c.answerCompleted(answer)
 	return done, health.Success, nil
 }
 
-func (c *call) lostCaller(err error) (step, health.Result, error) {
+func (c *call) callerLost(err error) (step, health.Result, error) {
 	c.logEnd("caller_lost: "+err.Error(), 0, 0)
 	c.r.metrics.outcomes.Add("caller_lost", 1)
 	c.closeConnection()
 	return done, health.NoResult, nil
 }
 
-// head writes the answer's status and headers. Length is that of the body, or
-// -1 when it is not known.
+// head writes the answer's status and headers. Length is that of the body, or -1 if it is
+// unknown.
 func (c *call) head(answer *backend.Answer, length int64) {
 	h := c.w.Header()
 	for name, values := range c.r.dialect.Incoming(answer.Header) {
@@ -214,13 +214,13 @@
 		h["Content-Type"] = nil
 	}
 	c.keepAlive()
-	c.begun, c.toldBy = true, c.framingTold(length)
+	c.answerBegun, c.callerFraming = true, c.framingFor(length)
 	c.w.WriteHeader(answer.Status)
 }
 
-// completed ends an answer that is whole and was written.
-func (c *call) completed(answer *backend.Answer) {
-	c.told = toldWhole
+// answerCompleted finishes an answer that was written whole.
+func (c *call) answerCompleted(answer *backend.Answer) {
+	c.delivered = deliveredWhole
 	c.r.metrics.completed(c)
 	if c.tokens > 0 && answer.Status < http.StatusBadRequest {
 		c.r.teams.Count(func(t *teamuse.Table) { t.Delivered(c.team, c.tokens) })
@@ -228,9 +228,9 @@
 	c.logCompleted(answer.Status)
 }
 
-// otherServer reports whether the service has a server that the call has not
-// tried and that wants requests.
-func (r *Router) otherServer(c *call) bool {
+// hasOtherServer reports whether the service has a server that the call has not tried and that
+// accepts requests.
+func (r *Router) hasOtherServer(c *call) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admission.HasOther(time.Now(), c.service, c.avoid)
--- a/transport/direct/sync.go
+++ b/transport/direct/sync.go
@@ -15,23 +15,23 @@
 	"goldcrestport/transport/platform"
 )
 
-// confirm adopts a newer configuration and notes when it was the newest.
-func (r *Router) confirm(c *routing.Config, sent time.Duration, v vouching) {
-	r.take(c)
+// confirm adopts a newer configuration and records when it was confirmed as current.
+func (r *Router) confirm(c *routing.Config, sent time.Duration, v confirmation) {
+	r.adoptIfPresent(c)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.vouch, r.toldAt = v, bootTime()
+	r.lastConfirmation, r.confirmedAt = v, bootTime()
 	if r.table.Load() != nil {
 		r.fresh.Confirm(sent)
 	}
-	r.reached()
+	r.confirmPending()
 	select {
-	case r.vouched <- struct{}{}:
+	case r.storeConfirmed <- struct{}{}:
 	default:
 	}
 }
 
-// adopt puts a configuration in force unless a newer one is.
+// adopt applies a configuration unless a newer one is in force.
 func (r *Router) adopt(c *routing.Config) {
 	old := r.table.Load()
 	if old != nil && old.Version() >= c.Version {
@@ -41,7 +41,7 @@
 	r.mu.Lock()
 	r.admission.SetCapacity(c.Limits.TokensPerSecond)
 	for _, s := range c.Services {
-		r.admission.SetService(s.Name, traits(c, s))
+		r.admission.SetService(s.Name, serviceTraits(c, s))
 		r.warmup.SetService(s.Name, warmup.Service{Rate: s.ColdRate, ColdFor: s.ColdFor})
 	}
 	r.mu.Unlock()
@@ -49,13 +49,13 @@
 		"tokens_per_second", c.Limits.TokensPerSecond)
 }
 
-// traits is what admission has to know of a service.
-func traits(c *routing.Config, s routing.Service) admission.Traits {
+// serviceTraits returns the properties of a service that the admission uses.
+func serviceTraits(c *routing.Config, s routing.Service) admission.Traits {
 	return admission.Traits{Engine: s.Engine.Slots > 0, FetchRate: s.Engine.FetchRate(), Objective: c.ShortestObjective(s.Name)}
 }
 
-// replace takes a whole reading, unless others told of later changes since it
-// began.
+// replace applies a whole snapshot, unless other routers sent later changes after its reading
+// started.
 func (r *Router) replace(s mirror.Snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,18 +63,18 @@
 		return
 	}
 	before := r.mirror.Evacuated()
-	r.warm(s.Servers)
+	r.recordColdServers(s.Servers)
 	r.mirror.Replace(s)
 	r.evacuate(before)
 	r.apply(r.roster.Replace(time.Now(), s.Servers))
-	r.invalidate(s.Invalid)
+	r.handleInvalid(s.Invalid)
 	r.peers = s.Routers
 	r.countRouters()
-	r.takeStored(s.Refused)
+	r.applyStored(s.Refused)
 }
 
-// update takes changes. They are whole up to their revision, so that what others
-// told meanwhile is in them; older ones are known already.
+// update applies changes. They are complete up to their revision, so they include what other
+// routers sent meanwhile; older ones are ignored.
 func (r *Router) update(d mirror.Delta) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +82,7 @@
 		return
 	}
 	before := r.mirror.Evacuated()
-	r.warm(d.Servers)
+	r.recordColdServers(d.Servers)
 	r.mirror.Update(d)
 	r.evacuate(before)
 	for _, one := range d.Servers {
@@ -91,7 +91,7 @@
 	for _, id := range d.Removed {
 		r.apply(r.roster.Remove(time.Now(), id))
 	}
-	r.invalidate(d.Invalid)
+	r.handleInvalid(d.Invalid)
 	for id, one := range d.Joined {
 		r.peers[id] = one
 	}
@@ -99,11 +99,11 @@
 		delete(r.peers, id)
 	}
 	r.countRouters()
-	r.takeStored(d.Refused)
+	r.applyStored(d.Refused)
 }
 
-// evacuate puts the operators' evacuations of data centres in force; before are
-// those that were. What runs at the servers goes on. The caller holds mu.
+// evacuate applies the operators' evacuations of data centres; before are those that were in
+// force until now. Runs at the servers continue. The caller holds mu.
 func (r *Router) evacuate(before map[string]bool) {
 	now := r.mirror.Evacuated()
 	if maps.Equal(before, now) {
@@ -131,8 +131,8 @@
 	r.admission.SetRouters(n)
 }
 
-// apply makes changes of the roster known to the decisions, and logs them with the
-// keys and values. The caller holds mu.
+// apply passes changes of the roster to the admission, the connection pool and the quarantine,
+// and logs them with keyvals. The caller holds mu.
 func (r *Router) apply(changes []roster.Change, keyvals ...any) {
 	for _, c := range changes {
 		if c.Usable {
@@ -145,7 +145,7 @@
 			r.admission.SetDataCentre(c.Server.ID, c.Server.DataCentre)
 		} else {
 			delete(r.servers, c.Server.ID)
-			r.gone(c)
+			r.serverGone(c)
 			r.admission.Remove(c.Server.ID)
 			r.pool.Left(c.Server.Identity())
 			go r.pool.Forget(c.Server.Identity())
@@ -154,9 +154,9 @@
 	}
 }
 
-// sweep looks after idle connections and servers that lapsed.
+// sweep closes idle connections and removes lapsed servers periodically.
 func (r *Router) sweep(ctx context.Context) {
-	each(ctx, sweepEvery, func(now time.Time) {
+	runEvery(ctx, sweepInterval, func(now time.Time) {
 		r.pool.Sweep(now)
 		r.sweepCallers(now)
 		r.mu.Lock()
@@ -165,12 +165,12 @@
 		r.admission.Tick(now)
 		r.warmup.Tick(now)
 		r.quarantine.Tick(now)
-		r.noteQuarantine()
+		r.handleQuarantineEvents()
 	})
 }
 
-// each calls a duty in each period until ctx ends.
-func each(ctx context.Context, period time.Duration, duty func(now time.Time)) {
+// runEvery calls duty once per period until ctx ends.
+func runEvery(ctx context.Context, period time.Duration, duty func(now time.Time)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
@@ -183,8 +183,8 @@
 	}
 }
 
-// register keeps this router's entry in the store, by which the others know
-// how many share the servers.
+// register renews this router's entry in the store, from which the other routers know how many
+// share the servers.
 func (r *Router) register(ctx context.Context) {
 	lease := ""
 	for ctx.Err() == nil {
@@ -193,36 +193,36 @@
 		got, err := r.source.Register(call, r.set.ID, r.set.Listen.Peers, lease, registerTTL)
 		cancel()
 		if err == nil {
-			r.renewed(sent, lease == "")
+			r.recordRenewal(sent, lease == "")
 			lease = got
 		} else {
 			r.metrics.storeErrors.Add(1)
 		}
 		if errors.Is(err, platform.ErrNotFound) && lease != "" {
-			// The entry ended while this router was cut off: until there is a
-			// new one, nobody tells it anything.
+			// The entry expired while this router could not reach the store: until it has a
+			// new one, no router sends it anything.
 			lease = ""
 			continue
 		}
 		select {
-		case <-time.After(registerEvery):
+		case <-time.After(registerInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// idleSlack is how long past the configuration's idle timeout a caller's
-// connection is kept: callers use connections up to near that time.
+// idleSlack is how long after the configured idle timeout a caller's connection is kept:
+// callers use connections until shortly before that timeout.
 const idleSlack = 500 * time.Millisecond
 
-// sweepCallers closes callers' connections that are idle for too long or too
-// many.
+// sweepCallers closes callers' connections that are idle for too long, or idle ones when there
+// are too many.
 func (r *Router) sweepCallers(now time.Time) {
 	limit := r.set.Callers.IdleTimeout.D()
 	if t := r.table.Load(); t != nil && t.Limits().IdleTimeout > 0 {
 		limit = t.Limits().IdleTimeout + idleSlack
 	}
-	if closed := r.callers.Sweep(now, limit, mostKept(r.set)); closed > 0 {
+	if closed := r.callers.Sweep(now, limit, maxKeptConnections(r.set)); closed > 0 {
 		r.metrics.closedIdle.Add(int64(closed))
 	}
 }
