--- a/transport/sidecar/answer.go
+++ b/transport/sidecar/answer.go
@@ -9,71 +9,74 @@
 	"goldcrestport/protocol/wire"
 )
 
-// Errors of an answer.
+// Errors returned to a reader of a response buffer.
 var (
-	// errSuperseded means that another stream took the answer over.
-	errSuperseded = errors.New("answer: another stream resumed it")
-	// errNotKept means that the wanted offset is not kept any more.
-	errNotKept = errors.New("answer: offset not kept")
+	// errSuperseded means that another stream has attached to the response.
+	errSuperseded = errors.New("response: another stream has resumed it")
+	// errOffsetDropped means that the requested offset is no longer buffered.
+	errOffsetDropped = errors.New("response: offset is no longer buffered")
 )
 
-// answer holds the part of one attempt's answer that the router may still
-// need. The run writes it, one stream at a time reads it.
+// responseBuffer holds the part of one attempt's response that the router may
+// still request. The run writes to it; one stream at a time reads from it.
 //
-// Invariant: at most window bytes are held. When they are, the run waits, so
-// that the backend server is read no faster than the router takes.
-type answer struct {
+// Invariant: at most window bytes are buffered, except that a write to an
+// empty buffer is always accepted. While the buffer is full the run blocks, so
+// that the backend server is read no faster than the router acknowledges.
+type responseBuffer struct {
 	window int
 
 	mu sync.Mutex
-	// wake is closed and replaced at each change.
+	// wake is closed and replaced on every change.
 	wake chan struct{}
 	head *wire.Head
-	// announced is the length by the head; short tells that it is known and small.
-	announced int64
-	short     bool
-	// buf holds the bytes from the offset base on.
+	// contentLength is the length announced in the response head, -1 if unknown;
+	// short reports that it is known and at most readSize.
+	contentLength int64
+	short         bool
+	// buf holds the bytes that start at offset base.
 	buf  []byte
 	base int64
 	end  *wire.End
-	// reader numbers the stream that reads; attached tells that it still does.
+	// reader is the number of the latest reading stream; attached reports
+	// whether that stream is still reading.
 	reader   uint64
 	attached bool
 	dropped  bool
 }
 
-func newAnswer(window int) *answer {
-	return &answer{window: window, wake: make(chan struct{})}
+func newResponseBuffer(window int) *responseBuffer {
+	return &responseBuffer{window: window, wake: make(chan struct{})}
 }
 
-// changed wakes all that wait. It is called with mu held.
-func (a *answer) changed() {
+// notifyAll wakes all waiters. It is called with mu locked.
+func (a *responseBuffer) notifyAll() {
 	close(a.wake)
 	a.wake = make(chan struct{})
 }
 
-// setHead adds the head of an answer with the announced length, -1 for none.
-// The head of a short answer waits for its bytes, and its last byte for the
-// end, so that both go out as one message.
-func (a *answer) setHead(h *wire.Head, length int64) {
+// setHead adds the head of a response with the given Content-Length, -1 if
+// unknown. The head of a short response is not sent before its body, nor its
+// last byte before its end, so that all go out as one message.
+func (a *responseBuffer) setHead(h *wire.Head, length int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.head = h
 	a.short = length >= 0 && length <= readSize
-	a.announced = length
+	a.contentLength = length
 	if !a.short {
-		a.changed()
+		a.notifyAll()
 	}
 }
 
-// write adds bytes, waiting while the window is full.
-func (a *answer) write(ctx context.Context, p []byte) error {
+// write appends bytes, blocking while the window is full.
+func (a *responseBuffer) write(ctx context.Context, p []byte) error {
 	for {
 		a.mu.Lock()
 		if len(a.buf) == 0 || len(a.buf)+len(p) <= a.window {
 			a.buf = append(a.buf, p...)
-			if !a.short || a.base+int64(len(a.buf)) < a.announced {
-				a.changed()
+			if !a.short || a.base+int64(len(a.buf)) < a.contentLength {
+				a.notifyAll()
 			}
 			a.mu.Unlock()
 			return nil
@@ -88,30 +91,31 @@
 	}
 }
 
-// finish adds the end.
-func (a *answer) finish(e *wire.End) {
+// finish adds the end of the response.
+func (a *responseBuffer) finish(e *wire.End) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.end = e
-	a.changed()
+	a.notifyAll()
 }
 
-// size returns the number of bytes held.
-func (a *answer) size() int64 {
+// size returns the number of buffered bytes.
+func (a *responseBuffer) size() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return int64(len(a.buf))
 }
 
-// length returns the number of bytes so far, held or not.
-func (a *answer) length() int64 {
+// length returns the number of bytes written so far, including those already
+// acknowledged.
+func (a *responseBuffer) length() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.base + int64(len(a.buf))
 }
 
-// ack forgets the bytes before the offset.
-func (a *answer) ack(offset int64) {
+// ack discards the bytes before the offset.
+func (a *responseBuffer) ack(offset int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if offset <= a.base || len(a.buf) == 0 {
@@ -120,30 +124,30 @@
 	n := min(offset-a.base, int64(len(a.buf)))
 	a.buf = append(a.buf[:0], a.buf[n:]...)
 	a.base += n
-	a.changed()
+	a.notifyAll()
 }
 
-// drop forgets the bytes for good.
-func (a *answer) drop() {
+// drop discards the buffered bytes; later reads fail with errOffsetDropped.
+func (a *responseBuffer) drop() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.dropped = true
 	a.buf = nil
-	a.changed()
+	a.notifyAll()
 }
 
-// attach makes the caller the one reader and returns its number.
-func (a *answer) attach() uint64 {
+// attach makes the caller the only reader and returns its number.
+func (a *responseBuffer) attach() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.reader++
 	a.attached = true
-	a.changed()
+	a.notifyAll()
 	return a.reader
 }
 
-// detach ends the reader's hold and reports whether it still had it.
-func (a *answer) detach(reader uint64) bool {
+// detach releases the reader and reports whether it was still attached.
+func (a *responseBuffer) detach(reader uint64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.reader != reader || !a.attached {
@@ -153,25 +157,27 @@
 	return true
 }
 
-// abandoned reports whether nobody attached since the reader detached.
-func (a *answer) abandoned(reader uint64) bool {
+// abandoned reports whether no other reader has attached since the reader
+// detached.
+func (a *responseBuffer) abandoned(reader uint64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.reader == reader && !a.attached
 }
 
-// piece is a part of an answer to be sent as one message.
+// piece is a part of a response that is sent as one message.
 type piece struct {
 	head *wire.Head
 	data []byte
 	end  *wire.End
 }
 
-// next waits for more than the reader has: the head if wanted, bytes from the
-// offset on, at most as many as into holds, and the end once all bytes are in.
-func (a *answer) next(ctx context.Context, reader uint64, offset int64, wantHead bool, into []byte) (piece, error) {
+// next waits for data that the reader does not have yet: the head if wanted,
+// up to len(into) bytes from the offset on, and the end once all bytes before
+// it are included.
+func (a *responseBuffer) next(ctx context.Context, reader uint64, offset int64, wantHead bool, into []byte) (piece, error) {
 	for {
-		p, wake, err := a.look(reader, offset, wantHead, into)
+		p, wake, err := a.poll(reader, offset, wantHead, into)
 		if err != nil || p.head != nil || len(p.data) > 0 || p.end != nil {
 			return p, err
 		}
@@ -183,7 +189,7 @@
 	}
 }
 
-func (a *answer) look(reader uint64, offset int64, wantHead bool, into []byte) (piece, <-chan struct{}, error) {
+func (a *responseBuffer) poll(reader uint64, offset int64, wantHead bool, into []byte) (piece, <-chan struct{}, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var p piece
@@ -191,7 +197,7 @@
 	case a.reader != reader:
 		return p, nil, errSuperseded
 	case a.dropped || offset < a.base || offset > a.base+int64(len(a.buf)):
-		return p, nil, errNotKept
+		return p, nil, errOffsetDropped
 	}
 	if wantHead {
 		p.head = a.head
--- a/transport/sidecar/backend.go
+++ b/transport/sidecar/backend.go
@@ -20,19 +20,20 @@
 	"goldcrestport/transport/revocable"
 )
 
-// hopHeaders are not passed on to routers. Content-Length is: it lets the
-// caller see that an answer was cut short.
-var hopHeaders = map[string]bool{
+// unforwardedHeaders lists the response headers that are not forwarded to
+// routers. Content-Length is forwarded: it lets the caller detect a truncated
+// response.
+var unforwardedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Authorization": true,
 }
 
-// errNotWritten marks a call of which no byte went to the backend server, so
-// that it is proven not to have run.
-var errNotWritten = errors.New("nothing was written to the backend server")
+// errNotWritten marks a call of which no byte was written to the backend
+// server, which proves that the request did not run.
+var errNotWritten = errors.New("no byte of the request was written to the backend server")
 
-// Bounds of the connections to the backend server.
+// Limits of the connections to the backend server.
 const (
 	backendIdleConns   = 256
 	backendIdleTime    = time.Minute
@@ -41,39 +42,39 @@
 
 // backend calls the backend server over HTTP.
 //
-// Invariant: one call of do sends the request at most once. The transport
-// repeats a request on its own only if its connection was used before and the
-// request has no body (or one that can be read again). So every body here can
-// be read once only, and a request for which that isn't enough goes out on a
-// connection of its own. Redirects are not followed.
+// Invariant: one call of do sends the request at most once. net/http retries a
+// request on its own only if its connection was reused and the request has no
+// body (or one that can be read again). Therefore every body here can be read
+// only once, and a request for which that does not prevent a retry is sent on
+// a new connection. Redirects are not followed.
 type backend struct {
 	base string
-	// kept keeps connections open; once opens one for each call.
-	kept *http.Client
-	once *http.Client
+	// keepAlive reuses connections; singleUse opens a new one for each call.
+	keepAlive *http.Client
+	singleUse *http.Client
 }
 
 func newBackend(base string) *backend {
 	return &backend{
-		base: strings.TrimRight(base, "/"),
-		kept: newBackendClient(false),
-		once: newBackendClient(true),
+		base:      strings.TrimRight(base, "/"),
+		keepAlive: newBackendClient(false),
+		singleUse: newBackendClient(true),
 	}
 }
 
-func newBackendClient(once bool) *http.Client {
+func newBackendClient(singleUse bool) *http.Client {
 	d := &net.Dialer{Timeout: backendDialTimeout}
 	tr := &http.Transport{
 		MaxIdleConnsPerHost: backendIdleConns,
 		IdleConnTimeout:     backendIdleTime,
 		DisableCompression:  true,
-		DisableKeepAlives:   once,
+		DisableKeepAlives:   singleUse,
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			raw, err := revocable.Dial(ctx, d, addr)
 			if err != nil {
 				return nil, err
 			}
-			return &countedConn{Conn: raw}, nil
+			return &countingConn{Conn: raw}, nil
 		},
 	}
 	return &http.Client{
@@ -82,8 +83,9 @@
 	}
 }
 
-// countedConn counts what was written, and can be sealed against writes.
-type countedConn struct {
+// countingConn counts the bytes written, and can be sealed against further
+// writes.
+type countingConn struct {
 	net.Conn
 
 	mu      sync.Mutex
@@ -92,7 +94,7 @@
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sealed {
@@ -103,15 +105,15 @@
 	return n, err
 }
 
-func (c *countedConn) count() int64 {
+func (c *countingConn) count() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-// seal reports whether nothing was written since the count was before, and if
-// so makes sure that nothing will be.
-func (c *countedConn) seal(before int64) bool {
+// seal reports whether the byte count still equals before. If so, it also
+// prevents any further write.
+func (c *countingConn) seal(before int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.written != before {
@@ -121,15 +123,15 @@
 	return true
 }
 
-// usedConn is the connection that a call was given.
-type usedConn struct {
+// assignedConn records the connection that net/http assigned to a call.
+type assignedConn struct {
 	mu     sync.Mutex
-	conn   *countedConn
+	conn   *countingConn
 	before int64
 }
 
-func (u *usedConn) got(info httptrace.GotConnInfo) {
-	c, ok := info.Conn.(*countedConn)
+func (u *assignedConn) onGotConn(info httptrace.GotConnInfo) {
+	c, ok := info.Conn.(*countingConn)
 	if !ok {
 		return
 	}
@@ -138,60 +140,61 @@
 	u.conn, u.before = c, c.count()
 }
 
-// unwritten reports whether no byte of the call went out or will go out. It
-// is asked when the call has failed, after which it gets no connection.
-func (u *usedConn) unwritten() bool {
+// nothingWritten reports whether no byte of the call was or will be written.
+// It is called after the call has failed: a failed call is not assigned
+// another connection.
+func (u *assignedConn) nothingWritten() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.conn == nil || u.conn.seal(u.before)
 }
 
-// onceBody is a request body that can't be read a second time.
-type onceBody struct{ io.Reader }
+// unreplayableBody is a request body that cannot be read a second time.
+type unreplayableBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (unreplayableBody) Close() error { return nil }
 
-// do sends the request once and returns the open answer. The error is marked
-// with errNotWritten if the request certainly did not run.
+// do sends the request once and returns the response with its body open. The
+// error is marked with errNotWritten if the request certainly did not run.
 func (b *backend) do(ctx context.Context, st *wire.RunStart, body []byte) (*http.Response, error) {
 	if !strings.HasPrefix(st.Path, "/") {
-		// It would become a part of the backend server's address.
+		// Appended to the base URL, it would change the host or port.
 		return nil, errors.Mark(errors.New("the path has no leading slash"), errNotWritten)
 	}
-	var used usedConn
-	trace := &httptrace.ClientTrace{GotConn: used.got}
+	var used assignedConn
+	trace := &httptrace.ClientTrace{GotConn: used.onGotConn}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), st.Method, b.base+st.Path, nil)
 	if err != nil {
 		return nil, errors.Mark(err, errNotWritten)
 	}
 	setHeaders(req, st)
-	client := b.kept
+	client := b.keepAlive
 	switch {
 	case len(body) > 0:
-		req.Body = onceBody{bytes.NewReader(body)}
+		req.Body = unreplayableBody{bytes.NewReader(body)}
 		req.ContentLength = int64(len(body))
-	case usuallyWithoutBody(st.Method):
-		// The transport finds that it is empty and sends none.
-		req.Body = onceBody{bytes.NewReader(nil)}
+	case transportProbesBody(st.Method):
+		// net/http detects that the body is empty and sends none.
+		req.Body = unreplayableBody{bytes.NewReader(nil)}
 	default:
-		client = b.once
+		client = b.singleUse
 	}
 	if !st.Idempotent {
-		// A kept connection may be closed by the backend server just now,
-		// and then it can't be known whether the request ran.
-		client = b.once
+		// The backend server may close a reused connection at this moment, and
+		// then it is unknown whether the request ran.
+		client = b.singleUse
 	}
 	resp, err := client.Do(req)
-	if err != nil && used.unwritten() {
+	if err != nil && used.nothingWritten() {
 		return nil, errors.Mark(err, errNotWritten)
 	}
 	return resp, err
 }
 
-// usuallyWithoutBody are the methods for which the transport looks whether a
+// transportProbesBody reports whether net/http checks for this method if a
 // body of unknown length is empty.
-func usuallyWithoutBody(method string) bool {
+func transportProbesBody(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodDelete, http.MethodOptions:
 		return true
@@ -213,10 +216,10 @@
 	}
 }
 
-func headOf(resp *http.Response, incarnation string) *wire.Head {
+func responseHead(resp *http.Response, incarnation string) *wire.Head {
 	h := &wire.Head{Status: int32(resp.StatusCode), Incarnation: incarnation}
 	for name, values := range resp.Header {
-		if hopHeaders[name] {
+		if unforwardedHeaders[name] {
 			continue
 		}
 		for _, v := range values {
@@ -226,22 +229,22 @@
 	return h
 }
 
-// signTimeout bounds the look whether the backend server takes connections.
-const signTimeout = 200 * time.Millisecond
+// connectProbeTimeout bounds the connection attempt of probeConnect.
+const connectProbeTimeout = 200 * time.Millisecond
 
-// sign looks whether the backend server takes connections.
-func (b *backend) sign(ctx context.Context) completeness.Sign {
-	at, err := url.Parse(b.base)
+// probeConnect checks whether the backend server accepts connections.
+func (b *backend) probeConnect(ctx context.Context) completeness.Sign {
+	target, err := url.Parse(b.base)
 	if err != nil {
 		return completeness.Silent
 	}
-	port := at.Port()
+	port := target.Port()
 	if port == "" {
-		port = at.Scheme
+		port = target.Scheme
 	}
-	d := net.Dialer{Timeout: signTimeout}
+	d := net.Dialer{Timeout: connectProbeTimeout}
 	conn, err := probe.Open(ctx, func(ctx context.Context) (net.Conn, error) {
-		return d.DialContext(ctx, "tcp", net.JoinHostPort(at.Hostname(), port))
+		return d.DialContext(ctx, "tcp", net.JoinHostPort(target.Hostname(), port))
 	})
 	if err == nil {
 		_ = conn.Close()
--- a/transport/sidecar/backend_test.go
+++ b/transport/sidecar/backend_test.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// The backend server answers the first call on a connection and closes the
-// connection after receiving the next one, which makes the transport repeat
-// what it may.
+// Guards against requests that net/http sends a second time. The backend server
+// responds to the first call on a connection and closes the connection after
+// receiving the next one, which makes net/http retry wherever it may.
 func TestCallIsSentOnce(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "OPTIONS", "DELETE", "POST", "PUT", "PATCH"} {
 		for _, body := range []string{"", "{}"} {
@@ -80,7 +80,7 @@
 	qt.Assert(t, runs.Load(), qt.Equals, int64(1))
 }
 
-func TestRefusedConnectionIsProvenNotRun(t *testing.T) {
+func TestRefusedConnectionProvesThatNothingRan(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	lis.Close()
@@ -101,11 +101,11 @@
 	}
 }
 
-// The window bounds what is read of a backend server whose answer nobody
-// takes, and an acknowledgement opens it again.
-func TestWindowHoldsTheRunBack(t *testing.T) {
+// The window bounds how much is read from a backend server whose response is not
+// consumed; an acknowledgement makes room for further bytes.
+func TestFullWindowBlocksTheRun(t *testing.T) {
 	c := qt.New(t)
-	a := newAnswer(8)
+	a := newResponseBuffer(8)
 	ctx, cancel := context.WithCancel(context.Background())
 	c.Assert(a.write(ctx, []byte("12345678")), qt.IsNil)
 	wrote := make(chan error, 1)
@@ -119,7 +119,7 @@
 	into := make([]byte, 4)
 	reader := a.attach()
 	_, err := a.next(context.Background(), reader, 0, false, into)
-	c.Assert(err, qt.ErrorIs, errNotKept)
+	c.Assert(err, qt.ErrorIs, errOffsetDropped)
 	p, err := a.next(context.Background(), reader, 5, false, into)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(p.data), qt.Equals, "6789")
--- a/transport/sidecar/choice_vars.go
+++ b/transport/sidecar/choice_vars.go
@@ -7,15 +7,15 @@
 	"goldcrestport/transport/observe"
 )
 
-// choiceMetrics shows the share core under /debug/vars. The chooser sets it;
-// readers see the last snapshot.
-type choiceMetrics struct {
+// shareMetrics publishes the state of the fair-share core under /debug/vars.
+// The scheduler updates it; readers see the latest snapshot.
+type shareMetrics struct {
 	costs atomic.Pointer[map[string]float64]
 	stats atomic.Pointer[share.Stats]
 }
 
-func newChoiceMetrics(v *observe.Vars) *choiceMetrics {
-	m := &choiceMetrics{}
+func newShareMetrics(v *observe.Vars) *shareMetrics {
+	m := &shareMetrics{}
 	m.costs.Store(&map[string]float64{})
 	m.stats.Store(&share.Stats{})
 	v.Func("sidecar_team_cost", func() any { return *m.costs.Load() })
@@ -32,7 +32,7 @@
 	return m
 }
 
-func (m *choiceMetrics) set(core *share.State) {
+func (m *shareMetrics) set(core *share.State) {
 	costs := map[string]float64{}
 	core.TeamCosts(func(team string, cost float64) { costs[team] = cost })
 	stats := core.Stats()
--- a/transport/sidecar/chooser.go
+++ b/transport/sidecar/chooser.go
@@ -10,91 +10,92 @@
 	"goldcrestport/transport/duty"
 )
 
-// Bounds of the rings between duties.
+// Capacities of the queues between event loops.
 const (
-	eventRing   = 1024
-	controlRing = 256
+	eventQueueSize   = 1024
+	controlQueueSize = 256
 )
 
-// tickEvery is the period in which running costs are charged.
-const tickEvery = 20 * time.Millisecond
+// tickInterval is the interval at which the cost of running attempts is charged.
+const tickInterval = 20 * time.Millisecond
 
-// showEvery is the period in which the metrics are set.
-const showEvery = 100 * time.Millisecond
+// metricsInterval is the interval at which the metrics are updated.
+const metricsInterval = 100 * time.Millisecond
 
-// verdict is the answer to an offered attempt.
-type verdict int
+// decision is the scheduler's response to an offered attempt.
+type decision int
 
 const (
-	verdictStart verdict = iota + 1
-	verdictDecline
+	decisionStart decision = iota + 1
+	decisionDecline
 )
 
-// message is what other duties hand to the chooser: an event of the core, or
-// a change of the chooser's own tables.
+// message is sent to the scheduler by other event loops: an event for the
+// core, a change of the scheduler's own tables, or both.
 type message struct {
-	event   share.Event
-	attempt *attempt
-	joined  *router
-	parted  *router
+	event        share.Event
+	attempt      *attempt
+	connected    *router
+	disconnected *router
 	// query reads the core between two events.
 	query func(*share.State)
-	// announce tells every router the room and revision at once.
-	announce bool
+	// reportNow sends the capacity and the revision to every router immediately.
+	reportNow bool
 }
 
-// chooser is the duty that owns the share core.
-type chooser struct {
+// scheduler is the event loop that owns the fair-share core.
+type scheduler struct {
 	core     *share.State
 	messages chan message
 	attempts map[uint64]*attempt
 	routers  map[string]*router
-	revision revisionHolder
+	revision revisionSource
 	address  string
-	// ordersLeft tells the orders to the engine that are left to give.
-	ordersLeft func() int
-	// reports decides which routers hear of the room last handed to it.
-	reports *report.State
-	room    share.Report
-	// lastShown is when the metrics were last set.
-	lastShown time.Time
-	// show sets the metrics.
-	show func(*share.State)
-	// recent prefixes that were started here.
-	recent recent
-	// ejected tells that the backend server fails.
+	// ordersRemaining returns the number of orders not yet carried out by the engine.
+	ordersRemaining func() int
+	// reports decides which routers receive the current capacity, and when.
+	reports  *report.State
+	capacity share.Report
+	// lastPublished is when the metrics were last updated.
+	lastPublished time.Time
+	// publish updates the metrics.
+	publish func(*share.State)
+	// recent holds the prompt prefixes of recently started attempts.
+	recent prefixHistory
+	// ejected reports whether the backend server is ejected as failing.
 	ejected func() bool
 }
 
-// revisionHolder tells which configuration is in force, and how long ago it
-// was known to be the newest.
-type revisionHolder interface {
+// revisionSource returns the configuration revision in effect and its
+// staleness: how long ago it was confirmed as current.
+type revisionSource interface {
 	Revision() uint64
 	Age() time.Duration
 }
 
-func newChooser(core *share.State, revision revisionHolder, address string) *chooser {
-	return &chooser{
+func newScheduler(core *share.State, revision revisionSource, address string) *scheduler {
+	return &scheduler{
 		core:     core,
-		messages: make(chan message, eventRing),
+		messages: make(chan message, eventQueueSize),
 		attempts: map[uint64]*attempt{},
 		routers:  map[string]*router{},
 		revision: revision,
 		address:  address,
 		ejected:  func() bool { return false },
 		reports:  report.New(report.DefaultConfig()),
-		room:     core.Capacity(),
-		show:     func(*share.State) {},
+		capacity: core.Capacity(),
+		publish:  func(*share.State) {},
 	}
 }
 
-// post hands a message to the duty, waiting while its ring is full.
-func (c *chooser) post(ctx context.Context, m message) {
+// post sends a message to the event loop, blocking while its queue is full.
+func (c *scheduler) post(ctx context.Context, m message) {
 	duty.Post(ctx, c.messages, m)
 }
 
-// ask runs a query of the core in the duty and reports whether it was run.
-func (c *chooser) ask(ctx context.Context, query func(*share.State)) bool {
+// runQuery runs a query of the core in the event loop and reports whether it
+// was run.
+func (c *scheduler) runQuery(ctx context.Context, query func(*share.State)) bool {
 	done := make(chan struct{})
 	c.post(ctx, message{query: func(core *share.State) {
 		query(core)
@@ -108,9 +109,9 @@
 	}
 }
 
-// run is the duty's loop.
-func (c *chooser) run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+// run processes messages and ticks until ctx ends.
+func (c *scheduler) run(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -124,26 +125,26 @@
 	}
 }
 
-func (c *chooser) handle(m message) {
+func (c *scheduler) handle(m message) {
 	switch {
-	case m.announce:
-		c.inform(report.Announced{})
+	case m.reportNow:
+		c.sendReports(report.Announced{})
 		return
 	case m.query != nil:
 		m.query(c.core)
 		return
 	case m.attempt != nil:
 		c.attempts[m.attempt.key] = m.attempt
-	case m.joined != nil:
-		c.routers[m.joined.id] = m.joined
-		c.inform(report.Connected{Router: m.joined.id})
+	case m.connected != nil:
+		c.routers[m.connected.id] = m.connected
+		c.sendReports(report.Connected{Router: m.connected.id})
 		return
-	case m.parted != nil:
-		if c.routers[m.parted.id] != m.parted {
+	case m.disconnected != nil:
+		if c.routers[m.disconnected.id] != m.disconnected {
 			return
 		}
-		delete(c.routers, m.parted.id)
-		c.inform(report.Disconnected{Router: m.parted.id})
+		delete(c.routers, m.disconnected.id)
+		c.sendReports(report.Disconnected{Router: m.disconnected.id})
 	}
 	c.step(m.event)
 	if e, ok := m.event.(share.Ended); ok {
@@ -151,21 +152,21 @@
 	}
 }
 
-func (c *chooser) tick() {
+func (c *scheduler) tick() {
 	for key, a := range c.attempts {
 		if cost := a.meter.cost(); cost > 0 {
 			c.step(share.Progressed{Attempt: key, Cost: cost})
 		}
 	}
 	c.step(share.Ticked{})
-	if now := time.Now(); now.Sub(c.lastShown) >= showEvery {
-		c.lastShown = now
-		c.show(c.core)
+	if now := time.Now(); now.Sub(c.lastPublished) >= metricsInterval {
+		c.lastPublished = now
+		c.publish(c.core)
 	}
-	c.broadcast(c.core.Capacity())
+	c.updateCapacity(c.core.Capacity())
 }
 
-func (c *chooser) step(ev share.Event) {
+func (c *scheduler) step(ev share.Event) {
 	var failed []uint64
 	for _, a := range c.core.Step(time.Now(), ev) {
 		switch a := a.(type) {
@@ -173,16 +174,16 @@
 			if started := c.attempts[a.Attempt]; started != nil {
 				c.recent.add(started.prefix)
 			}
-			c.tell(a.Attempt, verdictStart)
+			c.sendDecision(a.Attempt, decisionStart)
 		case share.Decline:
-			c.tell(a.Attempt, verdictDecline)
+			c.sendDecision(a.Attempt, decisionDecline)
 			delete(c.attempts, a.Attempt)
 		case share.Pull:
 			if !c.pull(a) {
 				failed = append(failed, a.ID)
 			}
 		case share.Report:
-			c.broadcast(a)
+			c.updateCapacity(a)
 		}
 	}
 	for _, id := range failed {
@@ -190,62 +191,62 @@
 	}
 }
 
-func (c *chooser) tell(key uint64, v verdict) {
+func (c *scheduler) sendDecision(key uint64, v decision) {
 	if a := c.attempts[key]; a != nil {
-		a.verdict <- v
+		a.decision <- v
 	}
 }
 
-func (c *chooser) pull(p share.Pull) bool {
+func (c *scheduler) pull(p share.Pull) bool {
 	r := c.routers[p.Router]
 	if r == nil {
 		return false
 	}
-	return r.send(&wire.ControlDown{Pulls: []*wire.Pull{{Pull: p.ID, Team: p.Team, Prefixes: c.recent.names()}}})
+	return r.send(&wire.ControlDown{Pulls: []*wire.Pull{{Pull: p.ID, Team: p.Team, Prefixes: c.recent.list()}}})
 }
 
-func (c *chooser) load(room share.Report) *wire.Load {
+func (c *scheduler) loadMessage(capacity share.Report) *wire.Load {
 	return &wire.Load{
-		Slots:       int32(room.Slots),
-		Free:        int32(room.Free),
-		Leaving:     room.Draining,
-		Waiting:     int32(room.Waiting),
+		Slots:       int32(capacity.Slots),
+		Free:        int32(capacity.Free),
+		Leaving:     capacity.Draining,
+		Waiting:     int32(capacity.Waiting),
 		Ejected:     c.ejected(),
 		Revision:    c.revision.Revision(),
 		Address:     c.address,
 		ConfigAgeMs: c.revision.Age().Milliseconds(),
-		OrdersLeft:  int32(c.ordersLeft()),
+		OrdersLeft:  int32(c.ordersRemaining()),
 	}
 }
 
-// router is one connected router as the chooser sees it.
+// router is the scheduler's view of one connected router.
 type router struct {
-	id  string
-	out chan *wire.ControlDown
-	// full is closed when the ring overflowed: the stream must end.
-	full   chan struct{}
-	closed bool
+	id    string
+	queue chan *wire.ControlDown
+	// overflowed is closed when the queue has overflowed: the stream must end.
+	overflowed chan struct{}
+	closed     bool
 }
 
 func newRouter(id string) *router {
 	return &router{
-		id:   id,
-		out:  make(chan *wire.ControlDown, controlRing),
-		full: make(chan struct{}),
+		id:         id,
+		queue:      make(chan *wire.ControlDown, controlQueueSize),
+		overflowed: make(chan struct{}),
 	}
 }
 
-// send queues a message or, when the ring is full, gives the stream up. It is
-// called by the chooser only.
+// send queues a message. If the queue is full, it marks the stream for closing
+// and returns false. It is called by the scheduler only.
 func (r *router) send(m *wire.ControlDown) bool {
 	select {
-	case r.out <- m:
+	case r.queue <- m:
 		return true
 	default:
 	}
 	if !r.closed {
 		r.closed = true
-		close(r.full)
+		close(r.overflowed)
 	}
 	return false
 }
--- a/transport/sidecar/control.go
+++ b/transport/sidecar/control.go
@@ -30,14 +30,15 @@
 		return err
 	}
 	address := up.Hello.Address
-	s.heard(address, up.Hello.Revision, up.Hello.ConfigAgeMs)
+	s.receiveRevision(address, up.Hello.Revision, up.Hello.ConfigAgeMs)
 	r := newRouter(up.Hello.Router)
-	s.chooser.post(s.ctx, message{joined: r})
+	s.scheduler.post(s.ctx, message{connected: r})
 	defer s.drain.set(s.ctx, drainByRouter(r.id), false)
-	defer s.chooser.post(s.ctx, message{parted: r, event: share.RouterDown{Router: r.id}})
+	defer s.scheduler.post(s.ctx, message{disconnected: r, event: share.RouterDown{Router: r.id}})
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	// Another incarnation must be learnt through another Welcome.
+	// A router learns of a new incarnation only from a new Welcome message, so
+	// the stream is closed when this incarnation is retired.
 	stop := context.AfterFunc(runs.ctx, func() { _ = stream.Close() })
 	defer stop()
 	go s.sendControl(ctx, cancel, stream, r)
@@ -45,17 +46,17 @@
 	return nil
 }
 
-// sendControl writes the router's ring to its stream.
+// sendControl writes the router's queued messages to its stream.
 func (s *Sidecar) sendControl(ctx context.Context, cancel context.CancelFunc, stream wire.DRPCSidecar_ControlStream, r *router) {
 	defer cancel()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.full:
+		case <-r.overflowed:
 			_ = stream.Close()
 			return
-		case m := <-r.out:
+		case m := <-r.queue:
 			if stream.Send(m) != nil {
 				return
 			}
@@ -64,7 +65,7 @@
 	}
 }
 
-// receiveControl turns the router's messages into events.
+// receiveControl converts the router's messages to events.
 func (s *Sidecar) receiveControl(ctx context.Context, stream wire.DRPCSidecar_ControlStream, r *router, address string) {
 	for ctx.Err() == nil {
 		up, err := stream.Recv()
@@ -73,10 +74,10 @@
 		}
 		s.metrics.control(proto.Size(up), 0)
 		if b := up.Beat; b != nil {
-			s.heard(address, b.Revision, b.ConfigAgeMs)
+			s.receiveRevision(address, b.Revision, b.ConfigAgeMs)
 		}
 		for _, i := range up.Interests {
-			s.chooser.post(ctx, message{event: share.Interest{
+			s.scheduler.post(ctx, message{event: share.Interest{
 				Router: r.id,
 				Team:   i.Team,
 				Count:  int(i.Count),
@@ -88,7 +89,7 @@
 			s.drain.set(ctx, drainByRouter(r.id), up.Listed == wire.Listed_LISTED_LEAVING)
 		}
 		for _, e := range up.Empties {
-			s.chooser.post(ctx, message{event: share.PullEmpty{Pull: e.Pull}})
+			s.scheduler.post(ctx, message{event: share.PullEmpty{Pull: e.Pull}})
 		}
 	}
 }
--- a/transport/sidecar/drain.go
+++ b/transport/sidecar/drain.go
@@ -7,21 +7,21 @@
 	"goldcrestport/coordination/share"
 )
 
-// Sources of a drain beside routers.
+// Sources of a drain other than routers.
 const (
 	drainByConfig = "configuration"
 	drainByLease  = "lease"
 )
 
-// drainByRouter names a router as a source of a drain. No router's id makes it
-// the name of another source.
+// drainByRouter returns the drain source for a router. The prefix keeps any
+// router id from colliding with the name of another source.
 func drainByRouter(id string) string { return "router " + id }
 
-// drain collects the reasons for which the sidecar takes no new work: the
-// configuration's drain list, the platform's list as routers read it, and a
-// lease that is not held.
+// drain collects the reasons for which the sidecar accepts no new work: the
+// configuration's drain list, the platform's instance list as read by routers,
+// a change of role, and a lease that is not held.
 //
-// Invariant: the sidecar is drained while any source says so.
+// Invariant: the sidecar is drained while at least one source is set.
 type drain struct {
 	s *Sidecar
 
@@ -31,7 +31,7 @@
 
 func newDrain(s *Sidecar) *drain { return &drain{s: s, sources: map[string]bool{}} }
 
-// set records what one source says.
+// set records whether one source requires a drain.
 func (d *drain) set(ctx context.Context, source string, on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -45,6 +45,6 @@
 	if before == after {
 		return
 	}
-	_ = d.s.log.Log("event", "drained", "on", after, "source", source, "held", d.s.held.Load())
-	d.s.chooser.post(ctx, message{event: share.Drained{On: after}})
+	_ = d.s.log.Log("event", "drained", "on", after, "source", source, "held", d.s.inFlight.Load())
+	d.s.scheduler.post(ctx, message{event: share.Drained{On: after}})
 }
--- a/transport/sidecar/ending.go
+++ b/transport/sidecar/ending.go
@@ -13,30 +13,32 @@
 	"goldcrestport/transport/framing"
 )
 
-// eventStream is the media type of a streamed answer.
+// eventStream is the media type of a streamed response.
 const eventStream = "text/event-stream"
 
-// isStream reports whether the answer is a stream of events.
+// isStream reports whether the response is a stream of server-sent events.
 func isStream(resp *http.Response) bool {
 	return resp.StatusCode < http.StatusMultipleChoices && strings.HasPrefix(resp.Header.Get("Content-Type"), eventStream)
 }
 
-// followed is the body of an answer that is followed to its end.
-type followed struct {
+// trackedBody is a response body that records what is needed to decide whether
+// it ended completely.
+type trackedBody struct {
 	body     io.Reader
 	framing  completeness.Framing
 	isStream bool
-	// position is that in the stream's events, and err what the last read returned.
+	// position is the position within the stream's events; err is the error of
+	// the last read.
 	position eventstream.Position
 	err      error
 }
 
-func follow(resp *http.Response) *followed {
-	return &followed{body: resp.Body, framing: framing.Of(resp), isStream: isStream(resp)}
+func trackBody(resp *http.Response) *trackedBody {
+	return &trackedBody{body: resp.Body, framing: framing.Of(resp), isStream: isStream(resp)}
 }
 
 // Read implements io.Reader.
-func (f *followed) Read(p []byte) (int, error) {
+func (f *trackedBody) Read(p []byte) (int, error) {
 	n, err := f.body.Read(p)
 	if f.isStream {
 		f.position.Advance(p[:n])
@@ -45,23 +47,23 @@
 	return n, err
 }
 
-// verdict says what the end of the answer means.
-func (f *followed) verdict() completeness.Verdict {
+// judge returns whether the end of the body marks a complete response.
+func (f *trackedBody) judge() completeness.Verdict {
 	return completeness.Judge(completeness.Answer{
 		Framing: f.framing, End: framing.End(f.framing, f.err),
 		IsStream: f.isStream, Events: f.position.Count(), IsInside: f.position.IsInside(),
 	})
 }
 
-// checkWhole turns the end of an answer that was read without an error into a failure if the
-// answer is not whole.
-func (s *Sidecar) checkWhole(ctx context.Context, end *wire.End, body *followed) {
+// checkComplete changes the outcome of a response that was read without an
+// error to failed if the response is incomplete.
+func (s *Sidecar) checkComplete(ctx context.Context, end *wire.End, body *trackedBody) {
 	if end.Outcome != string(outcome.Completed) {
 		return
 	}
-	verdict := body.verdict()
+	verdict := body.judge()
 	if verdict == completeness.Unmarked {
-		verdict = verdict.Settle(s.backend.sign(ctx))
+		verdict = verdict.Settle(s.backend.probeConnect(ctx))
 	}
 	if verdict == completeness.Broken {
 		end.Outcome, end.Reason = string(outcome.Failed), string(outcome.ReasonBackend)
--- a/transport/sidecar/engine.go
+++ b/transport/sidecar/engine.go
@@ -13,22 +13,23 @@
 	"goldcrestport/coordination/orders"
 )
 
-// ordersPath is where engines take orders and tell what they have.
+// ordersPath is the endpoint at which engines accept orders and report what
+// they have loaded.
 const ordersPath = "/v1/orders"
 
-// maxEngineAnswer bounds what is read of an engine's answer, in bytes.
-const maxEngineAnswer = 8 << 20
+// maxEngineResponse bounds how much of an engine's response is read, in bytes.
+const maxEngineResponse = 8 << 20
 
-// errFenced means that the engine has seen a newer fencing token.
-var errFenced = errors.New("older fencing token")
+// errStaleFence means that the engine has seen a newer fencing token.
+var errStaleFence = errors.New("stale fencing token: the engine has seen a newer one")
 
-// engineItem is a model or adapter as engines write it.
+// engineItem is a model or adapter as encoded by engines.
 type engineItem struct {
 	Name    string `json:"name"`
 	Version string `json:"version"`
 }
 
-// engineState is what an engine says it has.
+// engineState is what an engine reports to have loaded.
 type engineState struct {
 	Fence    uint64       `json:"fence"`
 	Models   []engineItem `json:"models"`
@@ -36,7 +37,7 @@
 	Role     string       `json:"role"`
 }
 
-// engineOrder is an order as engines read it.
+// engineOrder is an order as decoded by engines.
 type engineOrder struct {
 	Fence   uint64 `json:"fence"`
 	ID      string `json:"id"`
@@ -47,13 +48,13 @@
 	Role    string `json:"role,omitempty"`
 }
 
-// engine speaks to a model engine about what it holds.
+// engine is a client of a model engine's orders API.
 type engine struct {
 	base string
 	http *http.Client
 }
 
-// observe asks what the engine has.
+// observe fetches which models and adapters the engine has loaded.
 func (e *engine) observe(ctx context.Context) (orders.Have, error) {
 	var state engineState
 	if err := e.call(ctx, http.MethodGet, nil, &state); err != nil {
@@ -69,9 +70,9 @@
 	return have, nil
 }
 
-// give sends one order. errFenced tells that it was refused; any other error
-// leaves open whether it takes effect.
-func (e *engine) give(ctx context.Context, incarnation string, o orders.Order) error {
+// sendOrder sends one order. errStaleFence means that it was refused; after
+// any other error it is unknown whether the order takes effect.
+func (e *engine) sendOrder(ctx context.Context, incarnation string, o orders.Order) error {
 	out := engineOrder{
 		Fence:   o.Fence,
 		ID:      incarnation + "/" + strconv.FormatUint(o.ID, 10),
@@ -94,7 +95,7 @@
 }
 
 func (e *engine) call(ctx context.Context, method string, body []byte, into any) error {
-	// A body that cannot be read again keeps the transport from repeating it.
+	// A body that cannot be read again keeps net/http from retrying the request.
 	req, err := http.NewRequestWithContext(ctx, method, e.base+ordersPath, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return err
@@ -105,12 +106,12 @@
 		return err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxEngineAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxEngineResponse))
 	switch {
 	case err != nil:
 		return err
 	case resp.StatusCode == http.StatusConflict:
-		return errFenced
+		return errStaleFence
 	case resp.StatusCode != http.StatusOK:
 		return errors.Newf("engine: status %d", resp.StatusCode)
 	case into == nil:
--- a/transport/sidecar/exchange.go
+++ b/transport/sidecar/exchange.go
@@ -14,50 +14,51 @@
 	"goldcrestport/transport/platform"
 )
 
-// Bounds of the exchange of service counters.
+// Limits of the exchange of service counters.
 const (
-	// exchangeFanOut is how many peers are asked in one period, at least.
+	// exchangeFanOut is the minimum number of peers contacted in one interval.
 	exchangeFanOut = 3
-	// exchangeRound is the time in which every peer has been asked once; the gap
-	// of teams that few sidecars see grows with it (docs/FAIRNESS.md). It is
-	// well below the time after which a silent peer is no longer extrapolated.
+	// exchangeRound is the time in which every peer is contacted once. The
+	// service gap of teams that few sidecars see grows with it
+	// (docs/FAIRNESS.md). It is well below the time after which the counters of
+	// an unresponsive peer are no longer extrapolated.
 	exchangeRound = 6 * time.Second
-	// exchangeBudget bounds what one process sends, in bytes per second.
+	// exchangeBudget bounds the traffic that one process sends, in bytes per second.
 	exchangeBudget = 8 << 10
 	// exchangeTimeout bounds one call.
 	exchangeTimeout = time.Second
-	// counterSize is the size of a counter of the sender, in bytes, with a
-	// long team name.
+	// counterSize is the encoded size of one of the sender's own counters with a
+	// long team name, in bytes.
 	counterSize = 48
-	// mostStanding bounds the counters that a restarted peer gets.
-	mostStanding = 4096
+	// maxSnapshotCounters bounds the counters sent to a restarted peer.
+	maxSnapshotCounters = 4096
 )
 
-// peerLister lists the instances; the list may lag.
+// peerLister lists the instances; the list may be out of date.
 type peerLister interface {
 	Instances(ctx context.Context) ([]platform.Instance, error)
 }
 
-// rota chooses the next peers: at random, but each once in every round.
-type rota struct {
-	rng  *rand.Rand
-	left []string
+// peerRotation selects the next peers at random, each once per round.
+type peerRotation struct {
+	rng       *rand.Rand
+	remaining []string
 }
 
 // next returns up to n of the addresses.
-func (r *rota) next(addresses []string, n int) []string {
+func (r *peerRotation) next(addresses []string, n int) []string {
 	known := make(map[string]bool, len(addresses))
 	for _, a := range addresses {
 		known[a] = true
 	}
 	var out []string
 	for len(out) < min(n, len(addresses)) {
-		if len(r.left) == 0 {
-			r.left = append(r.left, addresses...)
-			r.rng.Shuffle(len(r.left), func(i, j int) { r.left[i], r.left[j] = r.left[j], r.left[i] })
+		if len(r.remaining) == 0 {
+			r.remaining = append(r.remaining, addresses...)
+			r.rng.Shuffle(len(r.remaining), func(i, j int) { r.remaining[i], r.remaining[j] = r.remaining[j], r.remaining[i] })
 		}
-		a := r.left[0]
-		r.left = r.left[1:]
+		a := r.remaining[0]
+		r.remaining = r.remaining[1:]
 		if known[a] {
 			known[a] = false
 			out = append(out, a)
@@ -66,24 +67,25 @@
 	return out
 }
 
-// fanOut returns how many peers to ask in one period.
+// fanOut returns how many peers to contact in one interval.
 func fanOut(peers int, every time.Duration) int {
 	round := int((time.Duration(peers)*every + exchangeRound - 1) / exchangeRound)
 	return max(exchangeFanOut, round)
 }
 
-// exchanger is the duty that exchanges service counters with the pool.
+// exchanger is the event loop that exchanges service counters with the other
+// sidecars of the service.
 type exchanger struct {
 	id, service, incarnation string
 	every                    time.Duration
 	peers                    peerLister
 	call                     func(ctx context.Context, addr string, m *wire.Counters) (*wire.Counters, error)
-	// ask runs a query in the chooser and waits for it.
-	ask     func(ctx context.Context, query func(*share.State)) bool
-	post    func(ctx context.Context, ev share.Event)
-	traffic func(in, out int)
-	rota    rota
-	// restored tells that a peer gave back what it knows.
+	// query runs a query in the scheduler and waits for it.
+	query    func(ctx context.Context, query func(*share.State)) bool
+	post     func(ctx context.Context, ev share.Event)
+	traffic  func(in, out int)
+	rotation peerRotation
+	// restored is set once a peer has sent its snapshot of the counters.
 	restored bool
 }
 
@@ -97,19 +99,19 @@
 		call: func(ctx context.Context, addr string, m *wire.Counters) (*wire.Counters, error) {
 			return s.pool.Sidecar(ctx, addr).Exchange(ctx, m)
 		},
-		ask: s.chooser.ask,
+		query: s.scheduler.runQuery,
 		post: func(ctx context.Context, ev share.Event) {
-			s.chooser.post(ctx, message{event: ev})
+			s.scheduler.post(ctx, message{event: ev})
 		},
-		traffic: s.metrics.control,
-		rota:    rota{rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))},
+		traffic:  s.metrics.control,
+		rotation: peerRotation{rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))},
 	}
 }
 
-// run exchanges until ctx ends.
+// run exchanges counters until ctx ends.
 func (x *exchanger) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		jitter := time.Duration(x.rota.rng.Int64N(int64(x.every)/2 + 1))
+		jitter := time.Duration(x.rotation.rng.Int64N(int64(x.every)/2 + 1))
 		select {
 		case <-ctx.Done():
 			return
@@ -119,13 +121,13 @@
 	}
 }
 
-// round exchanges with the next peers.
+// round exchanges counters with the next peers.
 func (x *exchanger) round(ctx context.Context) {
 	addresses := x.addresses(ctx)
 	n := fanOut(len(addresses), x.every)
-	most := max(1, int(x.every.Seconds()*exchangeBudget)/(2*n*counterSize))
-	for _, addr := range x.rota.next(addresses, n) {
-		m, ok := x.message(ctx, most)
+	limit := max(1, int(x.every.Seconds()*exchangeBudget)/(2*n*counterSize))
+	for _, addr := range x.rotation.next(addresses, n) {
+		m, ok := x.dueCounters(ctx, limit)
 		if !ok {
 			return
 		}
@@ -134,7 +136,7 @@
 	}
 }
 
-// addresses returns the live sidecars of the pool but this one.
+// addresses returns the addresses of the service's other live sidecars.
 func (x *exchanger) addresses(ctx context.Context) []string {
 	list, err := x.peers.Instances(ctx)
 	if err != nil {
@@ -149,18 +151,18 @@
 	return out
 }
 
-// message returns the own counters that are due.
-func (x *exchanger) message(ctx context.Context, most int) (*wire.Counters, bool) {
-	m := x.envelope()
-	ok := x.ask(ctx, func(core *share.State) {
-		for _, c := range core.Counters(most) {
+// dueCounters returns up to limit of this sidecar's own counters that are due.
+func (x *exchanger) dueCounters(ctx context.Context, limit int) (*wire.Counters, bool) {
+	m := x.newMessage()
+	ok := x.query(ctx, func(core *share.State) {
+		for _, c := range core.Counters(limit) {
 			m.Counters = append(m.Counters, &wire.Counter{Team: c.Team, Served: c.Served})
 		}
 	})
 	return m, ok
 }
 
-func (x *exchanger) envelope() *wire.Counters {
+func (x *exchanger) newMessage() *wire.Counters {
 	return &wire.Counters{Service: x.service, Sender: x.id, Incarnation: x.incarnation}
 }
 
@@ -168,25 +170,25 @@
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	x.traffic(0, proto.Size(m))
-	answer, err := x.call(ctx, addr, m)
+	response, err := x.call(ctx, addr, m)
 	if err != nil {
 		return
 	}
-	x.traffic(proto.Size(answer), 0)
+	x.traffic(proto.Size(response), 0)
 	x.restored = true
-	x.post(ctx, heardOf(answer))
+	x.post(ctx, countersReceived(response))
 }
 
-// answer serves a peer's exchange.
-func (x *exchanger) answer(ctx context.Context, m *wire.Counters) (*wire.Counters, error) {
+// handle serves a peer's exchange.
+func (x *exchanger) handle(ctx context.Context, m *wire.Counters) (*wire.Counters, error) {
 	if m.Service != x.service {
 		return nil, errors.Newf("exchange: this pool is %s", x.service)
 	}
 	x.traffic(proto.Size(m), 0)
-	x.post(ctx, heardOf(m))
-	out, ok := x.message(ctx, max(1, len(m.Counters)))
+	x.post(ctx, countersReceived(m))
+	out, ok := x.dueCounters(ctx, max(1, len(m.Counters)))
 	if m.WantAll {
-		out, ok = x.standing(ctx)
+		out, ok = x.snapshot(ctx)
 	}
 	if !ok {
 		return nil, ctx.Err()
@@ -195,12 +197,13 @@
 	return out, nil
 }
 
-// standing returns what a restarted peer needs to go on.
-func (x *exchanger) standing(ctx context.Context) (*wire.Counters, bool) {
-	m := x.envelope()
-	ok := x.ask(ctx, func(core *share.State) {
+// snapshot returns all known counters, from which a restarted peer restores
+// its state.
+func (x *exchanger) snapshot(ctx context.Context) (*wire.Counters, bool) {
+	m := x.newMessage()
+	ok := x.query(ctx, func(core *share.State) {
 		counters, ahead := core.Snapshot()
-		for _, c := range counters[:min(len(counters), mostStanding)] {
+		for _, c := range counters[:min(len(counters), maxSnapshotCounters)] {
 			w := &wire.Counter{Team: c.Team, Served: c.Served}
 			if c.Writer == x.id {
 				w.Ahead = ahead[c.Team]
@@ -213,8 +216,8 @@
 	return m, ok
 }
 
-// heardOf turns a peer's message into an event of the core.
-func heardOf(m *wire.Counters) share.CountersReceived {
+// countersReceived converts a peer's message to an event of the core.
+func countersReceived(m *wire.Counters) share.CountersReceived {
 	ev := share.CountersReceived{Ahead: map[string]float64{}}
 	for _, c := range m.Counters {
 		lc := ledger.Counter{Writer: c.Writer, Incarnation: c.Incarnation, Team: c.Team, Served: c.Served}
@@ -231,5 +234,5 @@
 
 // Exchange implements wire.DRPCSidecarServer.
 func (s *Sidecar) Exchange(ctx context.Context, m *wire.Counters) (*wire.Counters, error) {
-	return s.exchanger.answer(ctx, m)
+	return s.exchanger.handle(ctx, m)
 }
--- a/transport/sidecar/exchange_test.go
+++ b/transport/sidecar/exchange_test.go
@@ -14,7 +14,7 @@
 	"goldcrestport/transport/platform"
 )
 
-// peerPool is a pool of exchangers without a network.
+// peerPool connects exchangers without a network.
 type peerPool struct {
 	list  []platform.Instance
 	peers map[string]*peer
@@ -38,7 +38,7 @@
 	if p.down[addr] {
 		return nil, errors.New("no answer")
 	}
-	return p.peers[addr].answer(ctx, m)
+	return p.peers[addr].handle(ctx, m)
 }
 
 func (p *peerPool) add(id, incarnation string) *peer {
@@ -48,13 +48,13 @@
 	x.exchanger = &exchanger{
 		id: id, service: "pool", incarnation: incarnation, every: 2 * time.Second,
 		peers: p, call: p.call,
-		ask: func(_ context.Context, query func(*share.State)) bool {
+		query: func(_ context.Context, query func(*share.State)) bool {
 			query(x.core)
 			return true
 		},
-		post:    func(_ context.Context, ev share.Event) { x.core.Step(x.now, ev) },
-		traffic: func(in, out int) { x.in, x.out = x.in+in, x.out+out },
-		rota:    rota{rng: rand.New(rand.NewPCG(1, 2))},
+		post:     func(_ context.Context, ev share.Event) { x.core.Step(x.now, ev) },
+		traffic:  func(in, out int) { x.in, x.out = x.in+in, x.out+out },
+		rotation: peerRotation{rng: rand.New(rand.NewPCG(1, 2))},
 	}
 	if p.peers[id] == nil {
 		p.list = append(p.list, platform.Instance{
@@ -65,8 +65,8 @@
 	return x
 }
 
-// give runs one request of the team to its end.
-func (x *peer) give(team string, attempt uint64, cost float64) {
+// serve runs one request of the team to completion.
+func (x *peer) serve(team string, attempt uint64, cost float64) {
 	x.core.Step(x.now, share.Offered{Attempt: attempt, Team: team})
 	x.core.Step(x.now, share.Ended{Attempt: attempt, Cost: cost, Completed: true})
 }
@@ -85,51 +85,51 @@
 	ctx := context.Background()
 	pool := newPeerPool()
 	a, b := pool.add("a", "1"), pool.add("b", "1")
-	a.give("team", 1, 30)
-	b.give("team", 1, 50)
+	a.serve("team", 1, 30)
+	b.serve("team", 1, 50)
 	a.round(ctx)
 	c.Assert(a.known()["b/1/team"], qt.Equals, 50.0)
 	c.Assert(b.known()["a/1/team"], qt.Equals, 30.0)
 	c.Assert(a.out > 0 && a.in > 0 && b.in == a.out && b.out == a.in, qt.IsTrue)
 }
 
-func TestExchangePassesOverPeersThatDoNotAnswer(t *testing.T) {
+func TestExchangeSkipsUnresponsivePeers(t *testing.T) {
 	c := qt.New(t)
 	pool := newPeerPool()
 	a := pool.add("a", "1")
 	pool.add("b", "1")
 	d := pool.add("d", "1")
 	pool.down["b"] = true
-	a.give("team", 1, 30)
+	a.serve("team", 1, 30)
 	a.round(context.Background())
 	c.Assert(d.known()["a/1/team"], qt.Equals, 30.0)
 	c.Assert(a.restored, qt.IsTrue)
 }
 
-func TestRestartedSidecarGetsEveryCounterBack(t *testing.T) {
+func TestRestartedSidecarRestoresEveryCounter(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
 	pool := newPeerPool()
 	a, b := pool.add("a", "1"), pool.add("b", "1")
-	a.give("team", 1, 30)
-	b.give("team", 1, 50)
+	a.serve("team", 1, 30)
+	b.serve("team", 1, 50)
 	a.round(ctx)
 	again := pool.add("a", "2")
 	again.round(ctx)
 	c.Assert(again.known()["b/1/team"], qt.Equals, 50.0)
-	again.give("team", 1, 7)
+	again.serve("team", 1, 7)
 	again.round(ctx)
 	c.Assert(b.known()["a/2/team"], qt.Equals, 7.0)
 }
 
 func TestExchangeRefusesAnotherPool(t *testing.T) {
 	a := newPeerPool().add("a", "1")
-	_, err := a.answer(context.Background(), &wire.Counters{Service: "other"})
+	_, err := a.handle(context.Background(), &wire.Counters{Service: "other"})
 	qt.Assert(t, err, qt.ErrorMatches, "exchange: this pool is pool")
 }
 
-// Every peer is met once in a round, the bytes sent stay within the budget,
-// however many teams there are.
+// Every peer is contacted once in each round, and the bytes sent stay within the
+// budget however many teams there are.
 func TestExchangeIsBounded(t *testing.T) {
 	c := qt.New(t)
 	for _, peers := range []int{11, 115} {
@@ -143,17 +143,17 @@
 		}
 		a.restored = true
 		rounds := int(2 * exchangeRound / a.every)
-		met := map[string]bool{}
+		contacted := map[string]bool{}
 		a.call = func(_ context.Context, addr string, m *wire.Counters) (*wire.Counters, error) {
-			met[addr] = true
+			contacted[addr] = true
 			return &wire.Counters{}, nil
 		}
 		for range rounds {
 			a.round(context.Background())
 		}
 		rate := float64(a.out) / (float64(rounds) * a.every.Seconds())
-		t.Logf("%d peers: %.0f bytes per second sent, %d met in %d rounds", peers, rate, len(met), rounds)
-		c.Check(met, qt.HasLen, peers)
+		t.Logf("%d peers: %.0f bytes per second sent, %d contacted in %d rounds", peers, rate, len(contacted), rounds)
+		c.Check(contacted, qt.HasLen, peers)
 		c.Check(rate <= exchangeBudget, qt.IsTrue, qt.Commentf("%.0f", rate))
 	}
 }
--- a/transport/sidecar/execute.go
+++ b/transport/sidecar/execute.go
@@ -14,98 +14,100 @@
 )
 
 const (
-	// readSize is the size of one answer chunk at most, in bytes.
+	// readSize is the maximum size of a response chunk, in bytes.
 	readSize = 32 << 10
-	// answerWindow bounds the answer bytes that are held for a router, in
-	// bytes. It must be larger than the router's ack interval.
-	answerWindow = 1 << 20
+	// responseWindow bounds the response data buffered for a router, in bytes.
+	// It must be larger than the router's acknowledgement interval.
+	responseWindow = 1 << 20
 )
 
-// Causes for which a run is cancelled.
+// Causes of a run's cancellation.
 var (
-	// errCancelled means that the caller went away.
+	// errCancelled means that the caller disconnected.
 	errCancelled = errors.New("run: cancelled by the router")
-	// errAbandoned means that no stream came back within the grace time.
-	errAbandoned = errors.New("run: no router came back for the answer")
-	// errStopped means that the sidecar stops and the bound has passed.
-	errStopped = errors.New("run: the sidecar stops")
-	// errRunDeadline means that the request's deadline passed.
-	errRunDeadline = errors.New("run: the deadline passed")
+	// errAbandoned means that no stream resumed the response within the grace
+	// period.
+	errAbandoned = errors.New("run: no router resumed the response")
+	// errStopped means that the time limit of the sidecar's shutdown has passed.
+	errStopped = errors.New("run: the sidecar is shutting down")
+	// errRunDeadline means that the request's deadline has passed.
+	errRunDeadline = errors.New("run: deadline exceeded")
 )
 
-// execute runs an attempt to its end, whether or not a stream is attached.
+// execute runs an attempt to completion, whether or not a stream is attached.
 func (s *Sidecar) execute(a *attempt, body []byte) {
-	defer s.held.Add(-1)
+	defer s.inFlight.Add(-1)
 	ctx := a.ctx
 	if ms := a.start.DeadlineMs; ms > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeoutCause(ctx, wire.Millis(ms), errRunDeadline)
 		defer cancel()
 	}
-	ctx, span := s.beginRun(ctx, a)
-	began := time.Now()
-	a.meter.start(began)
-	s.limits.begin(s.ctx, a)
+	ctx, span := s.startRun(ctx, a)
+	start := time.Now()
+	a.meter.start(start)
+	s.limits.runStarted(s.ctx, a)
 	end := s.call(ctx, a, body)
-	s.limits.end(s.ctx, a, end)
+	s.limits.runEnded(s.ctx, a, end)
 	end.Attempt = a.start.Attempt.Number
 	end.Cost = a.meter.cost()
-	end.BackendUs = time.Since(began).Microseconds()
+	end.BackendUs = time.Since(start).Microseconds()
 	a.runs.end(a, end)
 	a.cancel(nil)
-	s.free(a)
-	s.endRun(ctx, span, a, end, began)
+	s.releaseSlot(a)
+	s.endRun(ctx, span, a, end, start)
 }
 
-// call sends the request to the backend server and reads its answer.
+// call sends the request to the backend server and reads the response.
 func (s *Sidecar) call(ctx context.Context, a *attempt, body []byte) *wire.End {
-	began := time.Now()
-	ctx, span := s.beginCall(ctx, a)
+	start := time.Now()
+	ctx, span := s.startCall(ctx, a)
 	defer span.End()
 	resp, err := s.backend.do(ctx, a.start, body)
 	switch {
 	case errors.Is(err, errNotWritten):
-		return &wire.End{Outcome: string(outcome.NotRun), Reason: string(reasonOf(ctx))}
+		return &wire.End{Outcome: string(outcome.NotRun), Reason: string(abortReason(ctx))}
 	case err != nil:
-		return &wire.End{Outcome: string(outcome.Unknown), Reason: string(reasonOf(ctx))}
+		return &wire.End{Outcome: string(outcome.Unknown), Reason: string(abortReason(ctx))}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode < http.StatusOK {
-		// What follows is another protocol, or no answer of HTTP.
+		// Either the server switched protocols or this is not valid HTTP.
 		return &wire.End{Outcome: string(outcome.Failed), Reason: string(outcome.ReasonBackend)}
 	}
 	length := resp.ContentLength
 	if isStream(resp) {
-		// A stream that keeps its length may break off all the same, which a caller who
-		// knows the length could not be told.
+		// A stream of the announced length may still be incomplete, and a caller
+		// that knows the length could not be told so.
 		length = -1
 		resp.Header.Del("Content-Length")
 	}
-	a.answer.setHead(headOf(resp, a.runs.incarnation), length)
+	a.response.setHead(responseHead(resp, a.runs.incarnation), length)
 	a.status = resp.StatusCode
-	answer := follow(resp)
-	end := copyAnswer(ctx, a, s.limits.timed(answer, began))
-	s.checkWhole(ctx, end, answer)
+	tracked := trackBody(resp)
+	end := copyResponse(ctx, a, s.limits.timeTokens(tracked, start))
+	s.checkComplete(ctx, end, tracked)
 	return end
 }
 
-// copyAnswer reads the body into the answer. One whose reading met an error ends as failed.
-func copyAnswer(ctx context.Context, a *attempt, body io.Reader) *wire.End {
+// copyResponse reads the body into the response buffer. The outcome is failed
+// if a read or write fails.
+func copyResponse(ctx context.Context, a *attempt, body io.Reader) *wire.End {
 	end := &wire.End{Outcome: string(outcome.Completed)}
 	sum := xxhash.New()
-	held := buffers.Get().(*[readSize]byte)
-	defer buffers.Put(held)
-	buf := held[:]
+	pooled := readBuffers.Get().(*[readSize]byte)
+	defer readBuffers.Put(pooled)
+	buf := pooled[:]
 	var last tail
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
 			part := buf[:n]
-			a.meter.read(part)
+			a.meter.count(part)
 			last.write(part)
 			_, _ = sum.Write(part)
 			end.Length += int64(n)
-			if werr := a.answer.write(ctx, part); werr != nil {
+			if werr := a.response.write(ctx, part); werr != nil {
 				err = werr
 			}
 		}
@@ -113,7 +115,7 @@
 			break
 		}
 		if err != nil {
-			end.Outcome, end.Reason = string(outcome.Failed), string(reasonOf(ctx))
+			end.Outcome, end.Reason = string(outcome.Failed), string(abortReason(ctx))
 			break
 		}
 	}
@@ -122,8 +124,8 @@
 	return end
 }
 
-// reasonOf tells why a run broke off.
-func reasonOf(ctx context.Context) outcome.Reason {
+// abortReason returns why a run was aborted.
+func abortReason(ctx context.Context) outcome.Reason {
 	switch cause := context.Cause(ctx); {
 	case cause == nil:
 		return outcome.ReasonBackend
--- a/transport/sidecar/held_test.go
+++ b/transport/sidecar/held_test.go
@@ -14,11 +14,12 @@
 	"goldcrestport/standin/relay"
 )
 
-// Guards against a run that begins at the backend server after the sidecar gave it up: the
-// path held the request, and the sidecar closed the connection.
-func TestARunThatWasGivenUpDoesNotBeginLater(t *testing.T) {
-	var began atomic.Int64
-	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { began.Add(1) }))
+// Guards against a request that starts at the backend server after the sidecar
+// has abandoned it: the network delays the request, and the sidecar closes the
+// connection before the network delivers it.
+func TestAbandonedRequestDoesNotStartLater(t *testing.T) {
+	var started atomic.Int64
+	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { started.Add(1) }))
 	defer server.Close()
 	link, err := relay.Listen("127.0.0.1:0", strings.TrimPrefix(server.URL, "http://"))
 	qt.Assert(t, err, qt.IsNil)
@@ -37,5 +38,5 @@
 	time.Sleep(20 * time.Millisecond)
 	link.Heal()
 	time.Sleep(300 * time.Millisecond)
-	qt.Check(t, began.Load(), qt.Equals, int64(1))
+	qt.Check(t, started.Load(), qt.Equals, int64(1))
 }
--- a/transport/sidecar/inform.go
+++ b/transport/sidecar/inform.go
@@ -8,26 +8,27 @@
 	"goldcrestport/protocol/wire"
 )
 
-// broadcast makes the room known to the routers, within the budget of the
-// reports.
-func (c *chooser) broadcast(room share.Report) {
-	c.room = room
-	c.inform(report.Changed{Room: report.Room{
-		Slots:   room.Slots,
-		Free:    room.Free,
-		Leaving: room.Draining,
+// updateCapacity records the capacity and reports it to the routers within the
+// message budget of the reports.
+func (c *scheduler) updateCapacity(capacity share.Report) {
+	c.capacity = capacity
+	c.sendReports(report.Changed{Room: report.Room{
+		Slots:   capacity.Slots,
+		Free:    capacity.Free,
+		Leaving: capacity.Draining,
 		Ejected: c.ejected(),
 	}})
 }
 
-// inform sends the room to the routers that are to be told now.
-func (c *chooser) inform(ev report.Event) {
-	told := c.reports.Step(time.Now(), ev)
-	if len(told) == 0 {
+// sendReports applies the event and sends the capacity to the routers that are
+// due a report.
+func (c *scheduler) sendReports(ev report.Event) {
+	due := c.reports.Step(time.Now(), ev)
+	if len(due) == 0 {
 		return
 	}
-	m := &wire.ControlDown{Load: c.load(c.room)}
-	for _, id := range told {
+	m := &wire.ControlDown{Load: c.loadMessage(c.capacity)}
+	for _, id := range due {
 		if r := c.routers[id]; r != nil {
 			r.send(m)
 		}
--- a/transport/sidecar/limit.go
+++ b/transport/sidecar/limit.go
@@ -21,22 +21,22 @@
 )
 
 const (
-	// sampleRing bounds the measurements on the way to the limiter; more are
-	// dropped and counted.
-	sampleRing = 4096
-	// windowEvery is the length of one window of the limiter.
-	windowEvery = time.Second
-	// healthEvery is the period in which a due probe is looked for.
-	healthEvery = 50 * time.Millisecond
-	// percentile that the targets are for.
+	// sampleQueueSize bounds the samples queued for the limiter; further
+	// samples are dropped and counted.
+	sampleQueueSize = 4096
+	// windowLength is the length of one measurement window of the limiter.
+	windowLength = time.Second
+	// healthInterval is the interval at which due probe requests are checked.
+	healthInterval = 50 * time.Millisecond
+	// percentile is the percentile to which the latency targets apply.
 	percentile = 95
-	// loadPath is where an engine reports its load.
+	// loadPath is the endpoint at which an engine reports its load.
 	loadPath = "/load"
-	// maxReport bounds an engine's report, in bytes.
+	// maxReport bounds the size of an engine's load report, in bytes.
 	maxReport = 64 << 10
 )
 
-// Range and precision of the histograms, in microseconds and digits.
+// Range of the histograms in microseconds, and their significant digits.
 const (
 	histogramMin    = 1
 	histogramMax    = int64(10 * time.Minute / time.Microsecond)
@@ -57,7 +57,7 @@
 }
 
 // runEvent is the start or the end of a run at the backend server. Both go
-// through one ring, since a start must be seen before its end.
+// through one queue, since a start must be processed before its end.
 type runEvent struct {
 	run    uint64
 	team   string
@@ -65,23 +65,23 @@
 	result limit.Result
 }
 
-// sample is a measured time that counts n times.
+// sample is a measured latency with weight n.
 type sample struct {
 	first bool
 	time  time.Duration
 	n     int64
 }
 
-// limits is the duty that adapts the number of slots.
+// limits is the event loop that adapts the number of slots.
 type limits struct {
 	limiter *limit.Limiter
 	health  *limit.Health
 	kind    func() config.ServiceKind
 	load    func(context.Context) (*limit.Report, error)
-	// set hands the number of slots on.
-	set func(context.Context, share.SlotsSet)
-	// out tells that the backend server gets nothing but probes.
-	out atomic.Bool
+	// setSlots sends the number of slots to the scheduler.
+	setSlots func(context.Context, share.SlotsSet)
+	// ejected is set while the backend server receives only probe requests.
+	ejected atomic.Bool
 
 	runs    chan runEvent
 	samples chan sample
@@ -110,11 +110,11 @@
 		health:  limit.NewHealth(health.DefaultConfig()),
 		kind:    s.serviceKind,
 		load:    s.backend.load,
-		set: func(ctx context.Context, ev share.SlotsSet) {
-			s.chooser.post(ctx, message{event: ev})
+		setSlots: func(ctx context.Context, ev share.SlotsSet) {
+			s.scheduler.post(ctx, message{event: ev})
 		},
-		runs:    make(chan runEvent, eventRing),
-		samples: make(chan sample, sampleRing),
+		runs:    make(chan runEvent, eventQueueSize),
+		samples: make(chan sample, sampleQueueSize),
 		reports: make(chan *limit.Report, 1),
 		first:   hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
 		gap:     hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
@@ -123,10 +123,10 @@
 	}
 }
 
-// run is the duty's loop.
+// run processes events until ctx ends.
 func (l *limits) run(ctx context.Context) {
-	go l.poll(ctx)
-	windows, probes := time.NewTicker(windowEvery), time.NewTicker(healthEvery)
+	go l.pollLoad(ctx)
+	windows, probes := time.NewTicker(windowLength), time.NewTicker(healthInterval)
 	defer windows.Stop()
 	defer probes.Stop()
 	for {
@@ -134,20 +134,20 @@
 		case <-ctx.Done():
 			return
 		case e := <-l.runs:
-			l.count(ctx, e)
+			l.handleRun(ctx, e)
 		case m := <-l.samples:
 			l.record(m)
 		case l.report = <-l.reports:
 		case <-windows.C:
-			l.window(ctx)
+			l.closeWindow(ctx)
 		case <-probes.C:
-			l.apply(ctx)
+			l.applySlots(ctx)
 		}
 	}
 }
 
-// count follows what runs and how it ends.
-func (l *limits) count(ctx context.Context, e runEvent) {
+// handleRun records the start or the end of a run.
+func (l *limits) handleRun(ctx context.Context, e runEvent) {
 	if !e.ended {
 		l.running++
 		l.peak = max(l.peak, l.running)
@@ -156,7 +156,7 @@
 	}
 	l.running--
 	l.health.Ended(time.Now(), e.run, e.team, e.result)
-	l.apply(ctx)
+	l.applySlots(ctx)
 }
 
 func (l *limits) record(m sample) {
@@ -165,11 +165,11 @@
 		h = l.first
 	}
 	us := min(max(m.time.Microseconds(), histogramMin), histogramMax)
-	_ = h.RecordValues(us, m.n) // in range by the line above
+	_ = h.RecordValues(us, m.n) // never fails: us is clamped above
 }
 
-// window closes one window.
-func (l *limits) window(ctx context.Context) {
+// closeWindow evaluates the current window and starts the next one.
+func (l *limits) closeWindow(ctx context.Context) {
 	w := limit.Window{
 		First:  time.Duration(l.first.ValueAtQuantile(percentile)) * time.Microsecond,
 		Gap:    time.Duration(l.gap.ValueAtQuantile(percentile)) * time.Microsecond,
@@ -190,13 +190,13 @@
 	if l.kind() == config.KindModel {
 		l.limiter.Observe(w)
 	}
-	l.apply(ctx)
+	l.applySlots(ctx)
 }
 
-// apply hands the number of slots on if it has changed.
-func (l *limits) apply(ctx context.Context) {
+// applySlots sends the number of slots to the scheduler if it has changed.
+func (l *limits) applySlots(ctx context.Context) {
 	ejected := l.health.Ejected()
-	l.out.Store(ejected)
+	l.ejected.Store(ejected)
 	l.vars.ejected.Set(0)
 	if ejected {
 		l.vars.ejected.Set(1)
@@ -207,12 +207,12 @@
 		return
 	}
 	l.slots = slots
-	l.set(ctx, share.SlotsSet{Slots: slots})
+	l.setSlots(ctx, share.SlotsSet{Slots: slots})
 }
 
-// poll reads the engine's report once per window until ctx ends.
-func (l *limits) poll(ctx context.Context) {
-	ticker := time.NewTicker(windowEvery)
+// pollLoad fetches the engine's load report once per window until ctx ends.
+func (l *limits) pollLoad(ctx context.Context) {
+	ticker := time.NewTicker(windowLength)
 	defer ticker.Stop()
 	for {
 		select {
@@ -232,15 +232,15 @@
 	}
 }
 
-// load reads the engine's report of its load.
+// load fetches the engine's load report.
 func (b *backend) load(ctx context.Context) (*limit.Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, windowEvery)
+	ctx, cancel := context.WithTimeout(ctx, windowLength)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, b.base+loadPath, nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := b.kept.Do(req)
+	resp, err := b.keepAlive.Do(req)
 	if err != nil {
 		return nil, err
 	}
--- a/transport/sidecar/limit_test.go
+++ b/transport/sidecar/limit_test.go
@@ -22,23 +22,24 @@
 	"goldcrestport/transport/observe"
 )
 
-// testLimits returns the duty with its SlotsSet events on a channel.
+// testLimits returns the limits event loop and a channel that receives the
+// number of slots of its SlotsSet events.
 func testLimits(kind config.ServiceKind, load func(context.Context) (*limit.Report, error)) (*limits, <-chan int) {
 	set := settings.DefaultSidecar().Backend
 	slots := make(chan int, 100)
 	return &limits{
-		limiter: limit.New(limitConfig(set)),
-		health:  limit.NewHealth(health.DefaultConfig()),
-		kind:    func() config.ServiceKind { return kind },
-		load:    load,
-		set:     func(_ context.Context, ev share.SlotsSet) { slots <- ev.Slots },
-		runs:    make(chan runEvent, eventRing),
-		samples: make(chan sample, sampleRing),
-		reports: make(chan *limit.Report, 1),
-		first:   hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
-		gap:     hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
-		slots:   set.Slots,
-		vars:    newLimitVars(observe.NewVars()),
+		limiter:  limit.New(limitConfig(set)),
+		health:   limit.NewHealth(health.DefaultConfig()),
+		kind:     func() config.ServiceKind { return kind },
+		load:     load,
+		setSlots: func(_ context.Context, ev share.SlotsSet) { slots <- ev.Slots },
+		runs:     make(chan runEvent, eventQueueSize),
+		samples:  make(chan sample, sampleQueueSize),
+		reports:  make(chan *limit.Report, 1),
+		first:    hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
+		gap:      hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
+		slots:    set.Slots,
+		vars:     newLimitVars(observe.NewVars()),
 	}, slots
 }
 
@@ -48,7 +49,7 @@
 	case n := <-slots:
 		return n
 	case <-time.After(10 * time.Second):
-		c.Fatal("no SlotsSet")
+		c.Fatal("no SlotsSet event within 10 s")
 		return 0
 	}
 }
@@ -61,8 +62,8 @@
 	go l.run(ctx)
 	run := func(key uint64, end *wire.End) {
 		a := &attempt{key: key, start: &wire.RunStart{Team: "a"}}
-		l.begin(ctx, a)
-		l.end(ctx, a, end)
+		l.runStarted(ctx, a)
+		l.runEnded(ctx, a, end)
 	}
 	for i := range 5 {
 		run(uint64(i), &wire.End{Outcome: string(outcome.Unknown), Reason: string(outcome.ReasonBackend)})
@@ -81,7 +82,7 @@
 	defer cancel()
 	l, slots := testLimits(config.KindModel, func(context.Context) (*limit.Report, error) { return &limit.Report{Slots: 6}, nil })
 	go l.run(ctx)
-	c.Assert(next(c, slots), qt.Equals, 6, qt.Commentf("the engine's slots bound the limit"))
+	c.Assert(next(c, slots), qt.Equals, 6, qt.Commentf("the limit must not exceed the engine's slots"))
 	go func() {
 		for ctx.Err() == nil {
 			l.samples <- sample{time: 80 * time.Millisecond, n: 10}
@@ -91,19 +92,19 @@
 	c.Assert(next(c, slots), qt.Equals, 4) // 6 x max(50/80, 0.7)
 }
 
-// parts is a body that comes in parts with pauses.
-type parts struct {
-	parts []string
-	pause time.Duration
+// chunkedBody is a body that arrives in chunks with pauses between them.
+type chunkedBody struct {
+	chunks []string
+	pause  time.Duration
 }
 
-func (p *parts) Read(b []byte) (int, error) {
-	if len(p.parts) == 0 {
+func (p *chunkedBody) Read(b []byte) (int, error) {
+	if len(p.chunks) == 0 {
 		return 0, io.EOF
 	}
 	time.Sleep(p.pause)
-	n := copy(b, p.parts[0])
-	p.parts = p.parts[1:]
+	n := copy(b, p.chunks[0])
+	p.chunks = p.chunks[1:]
 	return n, nil
 }
 
@@ -111,9 +112,9 @@
 	c := qt.New(t)
 	l, _ := testLimits(config.KindModel, nil)
 	const pause = 50 * time.Millisecond
-	body := &parts{[]string{"data: 1\n\n", "data: 2\n\ndata: 3\n\n", "data", ": 4\n\n"}, pause}
+	body := &chunkedBody{[]string{"data: 1\n\n", "data: 2\n\ndata: 3\n\n", "data", ": 4\n\n"}, pause}
 	resp := &http.Response{Header: http.Header{"Content-Type": {eventStream}}, Body: io.NopCloser(body)}
-	_, err := io.ReadAll(l.timed(follow(resp), time.Now().Add(-time.Second)))
+	_, err := io.ReadAll(l.timeTokens(trackBody(resp), time.Now().Add(-time.Second)))
 	c.Assert(err, qt.IsNil)
 	c.Assert(l.samples, qt.HasLen, 3)
 	first, two, split := <-l.samples, <-l.samples, <-l.samples
@@ -121,7 +122,7 @@
 	c.Check(two.n == 2 && two.time >= pause/2 && two.time < split.time, qt.IsTrue, qt.Commentf("%v", two))
 	c.Check(split.n == 1 && split.time >= 2*pause, qt.IsTrue, qt.Commentf("%v", split))
 	whole := &http.Response{Header: http.Header{}, Body: io.NopCloser(strings.NewReader("{}\n\n"))}
-	_, _ = io.ReadAll(l.timed(follow(whole), time.Now()))
+	_, _ = io.ReadAll(l.timeTokens(trackBody(whole), time.Now()))
 	c.Check(l.samples, qt.HasLen, 0)
 }
 
@@ -143,9 +144,9 @@
 }
 
 func TestRecentPrefixes(t *testing.T) {
-	var r recent
+	var r prefixHistory
 	for _, p := range []uint64{1, 2, 0, 3, 1, 4, 5} {
 		r.add(p)
 	}
-	qt.Assert(t, r.names(), qt.DeepEquals, []uint64{5, 4, 1, 3})
+	qt.Assert(t, r.list(), qt.DeepEquals, []uint64{5, 4, 1, 3})
 }
--- a/transport/sidecar/messages_fuzz_test.go
+++ b/transport/sidecar/messages_fuzz_test.go
@@ -25,8 +25,8 @@
 	"goldcrestport/state/ledger"
 )
 
-// fakeStream is a router's end of a stream: it hands out the messages, waits
-// a little for an end and closes.
+// fakeStream is a router's end of a stream: it delivers the messages, waits up
+// to fakeWait for the end of the stream and closes.
 type fakeStream[Up, Down any] struct {
 	drpc.Stream
 	ctx context.Context
@@ -34,7 +34,7 @@
 	mu   sync.Mutex
 	ups  []Up
 	sent []Down
-	// last tells that the message is the last one of the stream.
+	// last reports whether the message is the last one of the stream.
 	last   func(Down) bool
 	ended  chan struct{}
 	finish sync.Once
@@ -79,18 +79,19 @@
 	return up, io.EOF
 }
 
-// fuzzTeams bounds the teams of the sidecars under the fuzzer.
+// fuzzTeams is the maximum number of teams in the ledger under test.
 const fuzzTeams = 8
 
-// fuzzed returns a sidecar that holds its slot, before the backend server.
-func fuzzed(c *qt.C, url string) *Sidecar {
+// newFuzzSidecar returns a sidecar that holds its slot and calls the backend
+// server at the URL.
+func newFuzzSidecar(c *qt.C, url string) *Sidecar {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.Cleanup(cancel)
 	s := startSlot(ctx, newSlotStore(), "127.0.0.1:1")
 	s.backend = newBackend(url)
 	c.Cleanup(func() {
-		s.backend.kept.CloseIdleConnections()
-		s.backend.once.CloseIdleConnections()
+		s.backend.keepAlive.CloseIdleConnections()
+		s.backend.singleUse.CloseIdleConnections()
 	})
 	go s.limits.run(ctx)
 	for range 1000 {
@@ -99,16 +100,16 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	c.Fatal("the slot is not held")
+	c.Fatal("the sidecar did not acquire its slot")
 	return nil
 }
 
-// sound checks that the sidecar still answers, and that every number it would
-// tell others is finite.
-func sound(c *qt.C, s *Sidecar) {
+// checkHealthy checks that the sidecar still responds, and that every number it
+// would send to others is finite.
+func checkHealthy(c *qt.C, s *Sidecar) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	ok := s.chooser.ask(ctx, func(core *share.State) {
+	ok := s.scheduler.runQuery(ctx, func(core *share.State) {
 		core.Step(time.Now(), share.Interest{Router: "probe", Team: "a", Count: 1})
 		core.Step(time.Now(), share.Ticked{})
 		core.TeamCosts(func(team string, cost float64) { c.Check(wire.Amount(cost), qt.Equals, cost, qt.Commentf("%q", team)) })
@@ -129,8 +130,8 @@
 	return m.GetDeclined() != nil || m.GetEnd() != nil || m.Last != nil
 }
 
-// checkRun gives the messages to Run: the stream ends with an error, a
-// decline or an end whose outcome is one of the four.
+// checkRun passes the messages to Run and checks that the stream ends with an
+// error, a decline or an end with one of the four outcomes.
 func checkRun(c *qt.C, s *Sidecar, ups ...*wire.RunUp) {
 	stream := newFakeStream(context.Background(), lastOfRun, ups...)
 	if s.Run(stream) != nil {
@@ -154,13 +155,13 @@
 	c.Check(wire.Amount(end.Cost), qt.Equals, end.Cost)
 }
 
-// decoded returns the message of the bytes, or false if drpc would refuse
-// them before any handler.
+// decoded decodes the message, or returns false if drpc would refuse the bytes
+// before calling a handler.
 func decoded[M proto.Message](data []byte, m M) (M, bool) {
 	return m, proto.Unmarshal(data, m) == nil
 }
 
-// Kinds of what FuzzMessages feeds.
+// Kinds of messages that FuzzMessages sends.
 const (
 	fuzzRun = iota
 	fuzzControl
@@ -204,7 +205,7 @@
 	}
 }
 
-// seedMessages adds messages with values at the edges of their types.
+// seedMessages adds messages with extreme values of their types.
 func seedMessages(f *testing.F) {
 	add := func(kind int, messages ...proto.Message) {
 		var data [2][]byte
@@ -246,23 +247,24 @@
 	add(fuzzConfig, &wire.ConfigRequest{Revision: math.MaxUint64, WantInstances: true})
 }
 
-// Whatever a peer sends: no handler panics, each call ends, and the sidecar
-// goes on serving with finite accounts.
+// Whatever a peer sends: no handler panics, each call returns, and the sidecar
+// continues to serve with finite counters.
 func FuzzMessages(f *testing.F) {
 	seedMessages(f)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
 	f.Cleanup(srv.Close)
 	f.Fuzz(func(t *testing.T, kind uint8, first, second []byte) {
 		c := qt.New(t)
-		s := fuzzed(c, srv.URL)
+		s := newFuzzSidecar(c, srv.URL)
 		feed(c, s, int(kind)%fuzzKinds, first, second)
-		sound(c, s)
+		checkHealthy(c, s)
 		checkRun(c, s, &wire.RunUp{Kind: &wire.RunUp_Start{Start: startOf("GET", "/after", true, "")}})
 	})
 }
 
-// Teams that peers tell of take no more room than the bound.
-func TestPeersCannotGrowTheAccountsWithoutBound(t *testing.T) {
+// Guards against unbounded memory use: the teams named in peers' messages do not
+// exceed the ledger's limit.
+func TestPeersCannotGrowTheLedgerWithoutBound(t *testing.T) {
 	c := qt.New(t)
 	cfg := share.DefaultConfig()
 	cfg.Ledger.MaxTeams = fuzzTeams
@@ -279,7 +281,7 @@
 	c.Assert(teams, qt.Equals, fuzzTeams)
 }
 
-// A body length near the end of its type must not pass the bound.
+// Guards against integer overflow in the check of the announced body length.
 func TestBodyBeyondTheBoundIsRefused(t *testing.T) {
 	for _, rest := range []int64{-1, maxBody, math.MaxInt64} {
 		st := &wire.RunStart{Body: []byte("x"), BodyRest: rest}
@@ -289,8 +291,9 @@
 	}
 }
 
-// A path that is none must not become a part of the backend server's address.
-func TestPathStaysAtTheBackendServer(t *testing.T) {
+// A path without a leading slash must not change the host or port of the backend
+// server's URL.
+func TestPathCannotChangeTheBackendAddress(t *testing.T) {
 	for _, path := range []string{"", "1/x", "@127.0.0.1:1/", ".example"} {
 		_, err := newBackend("http://127.0.0.1:1").do(context.Background(), startOf("GET", path, true, ""), nil)
 		qt.Assert(t, err, qt.ErrorMatches, "the path has no leading slash")
@@ -298,7 +301,8 @@
 	}
 }
 
-// A router whose id is the name of another source must not end that drain.
+// A router whose id equals the name of another drain source must not end that
+// source's drain.
 func TestRouterEndsOnlyItsOwnDrain(t *testing.T) {
 	for _, id := range []string{drainByLease, drainByConfig, drainByOrders} {
 		c := qt.New(t)
@@ -317,10 +321,10 @@
 	}
 }
 
-// An acknowledgement far below what is held forgets nothing.
-func TestAckBelowTheAnswerForgetsNothing(t *testing.T) {
+// An acknowledgement far below the buffered offsets discards nothing.
+func TestAckBelowTheBufferDiscardsNothing(t *testing.T) {
 	c := qt.New(t)
-	a := newAnswer(8)
+	a := newResponseBuffer(8)
 	c.Assert(a.write(context.Background(), []byte("1234")), qt.IsNil)
 	a.ack(2)
 	a.ack(math.MinInt64)
@@ -328,11 +332,12 @@
 	c.Assert(a.base, qt.Equals, int64(2))
 }
 
-// An age whose nanoseconds wrap around is a long one: what is not known may
-// have been forgotten, so it can't be blocked as never seen.
-func TestLongAgeIsNoShortOne(t *testing.T) {
+// Guards against an age whose conversion to nanoseconds overflows to a short one.
+// The attempt is older than the table remembers, so it may have run and been
+// forgotten, and must not be blocked as never seen.
+func TestOverflowingAgeCountsAsLong(t *testing.T) {
 	c := qt.New(t)
-	const wraps = 18446744073710 // milliseconds; 448 microseconds beyond 2^64 ns
+	const wraps = 18446744073710 // milliseconds; 448 microseconds more than 2^64 ns
 	cfg := attempts.DefaultConfig()
 	cfg.KnownFor = time.Nanosecond
 	for _, age := range []int64{wraps, math.MaxInt64} {
@@ -346,8 +351,8 @@
 	}
 }
 
-// An answer whose status HTTP can't tell is none.
-func TestAnswerWithoutStatusEndsAsFailed(t *testing.T) {
+// A response with an invalid HTTP status counts as a failure.
+func TestResponseWithInvalidStatusFails(t *testing.T) {
 	c := qt.New(t)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -361,7 +366,7 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 000 None\r\nContent-Length: 2\r\n\r\nok")
 		_ = conn.Close()
 	}()
-	s := fuzzed(c, "http://"+lis.Addr().String())
+	s := newFuzzSidecar(c, "http://"+lis.Addr().String())
 	start := &wire.RunUp{Kind: &wire.RunUp_Start{Start: startOf("GET", "/x", true, "")}}
 	stream := newFakeStream(context.Background(), lastOfRun, start)
 	c.Assert(s.Run(stream), qt.IsNil)
--- a/transport/sidecar/meter.go
+++ b/transport/sidecar/meter.go
@@ -13,7 +13,7 @@
 // eventSeparator ends a server-sent event.
 var eventSeparator = []byte("\n\n")
 
-// meter counts the cost of one attempt while it runs.
+// meter measures the cost of one attempt while it runs.
 type meter struct {
 	kind         config.ServiceKind
 	promptWeight float64
@@ -23,11 +23,11 @@
 	final        atomic.Pointer[float64]
 }
 
-// start marks the begin of the run.
+// start records the start time of the run.
 func (m *meter) start(now time.Time) { m.started.Store(now.UnixNano()) }
 
-// cost returns the cost so far: tokens of a model, slot milliseconds of a
-// plain service.
+// cost returns the cost so far: tokens for a model, milliseconds of slot time
+// for a plain service.
 func (m *meter) cost() float64 {
 	if f := m.final.Load(); f != nil {
 		return *f
@@ -45,15 +45,15 @@
 // settled reports whether the final cost is fixed.
 func (m *meter) settled() bool { return m.final.Load() != nil }
 
-// read counts a part of a streamed answer.
-func (m *meter) read(part []byte) {
+// count adds the tokens of a chunk of a streamed response.
+func (m *meter) count(chunk []byte) {
 	if m.kind == config.KindModel {
-		m.events.Advance(part)
+		m.events.Advance(chunk)
 		m.tokens.Store(int64(m.events.Count()))
 	}
 }
 
-// usage is the part of a chat completion that tells its cost.
+// usage is the part of a chat completion from which its cost is computed.
 type usage struct {
 	Usage *struct {
 		PromptTokens     int `json:"prompt_tokens"`
@@ -64,15 +64,16 @@
 	} `json:"usage"`
 }
 
-// cost returns what the usage comes to. An engine may tell anything; no part
-// counts less than nothing.
+// cost returns the cost of the usage. An engine may report any numbers;
+// negative ones count as zero.
 func (u usage) cost(promptWeight float64) float64 {
 	prompt := max(u.Usage.PromptTokens, 0)
 	fresh := prompt - min(max(u.Usage.Details.CachedTokens, 0), prompt)
 	return float64(max(u.Usage.CompletionTokens, 0)) + promptWeight*float64(fresh)
 }
 
-// settle fixes the final cost from the answer's tail, if it tells.
+// settle fixes the final cost: that of the usage object in the response's tail
+// if there is one, otherwise the cost counted so far.
 func (m *meter) settle(tail []byte) {
 	cost := m.cost()
 	if u, ok := lastUsage(tail); m.kind == config.KindModel && ok {
@@ -81,8 +82,8 @@
 	m.final.Store(&cost)
 }
 
-// lastUsage finds the usage object in a whole answer or in the last events of
-// a stream.
+// lastUsage finds the usage object in a complete response or in the last
+// events of a stream.
 func lastUsage(tail []byte) (usage, bool) {
 	if u, ok := usageOf(tail); ok {
 		return u, true
@@ -97,17 +98,18 @@
 	return usage{}, false
 }
 
-// usageOf reads one object.
+// usageOf decodes one JSON object.
 func usageOf(data []byte) (usage, bool) {
 	var u usage
 	ok := json.Unmarshal(data, &u) == nil && u.Usage != nil
 	return u, ok
 }
 
-// tailSize is how much of an answer's end is kept to read the usage, in bytes.
+// tailSize is how much of the end of a response is kept to find the usage
+// object, in bytes.
 const tailSize = 64 << 10
 
-// tail keeps the last bytes of an answer.
+// tail keeps the last tailSize bytes of a response.
 type tail struct{ buf []byte }
 
 func (t *tail) write(p []byte) {
--- a/transport/sidecar/metrics.go
+++ b/transport/sidecar/metrics.go
@@ -14,36 +14,38 @@
 	"goldcrestport/transport/observe"
 )
 
-// metrics are published under /debug/vars; docs/METRICS.md explains them.
+// metrics are published under /debug/vars; docs/METRICS.md documents them.
 type metrics struct {
 	vars     *observe.Vars
 	outcomes *expvar.Map
 	declined *expvar.Map
 	wait     *observe.Times
 	run      *observe.Times
-	choice   *choiceMetrics
-	// Messages to and from routers and peers that are no part of a request.
+	share    *shareMetrics
+	// Bytes of messages to and from routers and peers that do not belong to a
+	// request.
 	controlIn  *expvar.Int
 	controlOut *expvar.Int
-	// Starts of runs. The time from a drain to the last new start is read from
-	// them and from the log line of the drain.
+	// Number of runs started and time of the last start. The time from a drain
+	// to the last new start is derived from lastStart and the log line of the
+	// drain.
 	starts    *expvar.Int
 	lastStart *expvar.Int
-	// Orders to the engine.
+	// Orders to the engine: remaining ones and those sent.
 	ordersLeft *expvar.Int
 	ordersSent *expvar.Int
 }
 
 func newMetrics(s *Sidecar) *metrics {
 	v := observe.NewVars()
-	v.Func("sidecar_held", func() any { return s.held.Load() })
+	v.Func("sidecar_held", func() any { return s.inFlight.Load() })
 	return &metrics{
 		vars:     v,
 		outcomes: v.Map("sidecar_outcomes"),
 		declined: v.Map("sidecar_declined"),
 		wait:     v.Times("sidecar_wait_us"),
 		run:      v.Times("sidecar_run_us"),
-		choice:   newChoiceMetrics(v),
+		share:    newShareMetrics(v),
 
 		controlIn:  v.Int("sidecar_control_bytes_in"),
 		controlOut: v.Int("sidecar_control_bytes_out"),
@@ -64,8 +66,9 @@
 // SetTracer sets the tracer of the runs. It must be called before Serve.
 func (s *Sidecar) SetTracer(t *observe.Tracer) { s.tracer = t }
 
-// beginRun begins to observe a run that got its slot.
-func (s *Sidecar) beginRun(ctx context.Context, a *attempt) (context.Context, trace.Span) {
+// startRun records the queueing time of a run that was given a slot and starts
+// its span.
+func (s *Sidecar) startRun(ctx context.Context, a *attempt) (context.Context, trace.Span) {
 	now := time.Now()
 	s.metrics.wait.Record(s.set.Service, now, now.Sub(a.received))
 	ctx = s.tracer.Enter(ctx, a.start.Traceparent)
@@ -75,11 +78,11 @@
 		attribute.Int64("wait_us", now.Sub(a.received).Microseconds()))
 }
 
-// endRun marks the end of a run.
-func (s *Sidecar) endRun(ctx context.Context, span trace.Span, a *attempt, end *wire.End, began time.Time) {
+// endRun records metrics and a log line for a finished run and ends its span.
+func (s *Sidecar) endRun(ctx context.Context, span trace.Span, a *attempt, end *wire.End, start time.Time) {
 	now := time.Now()
 	s.metrics.outcomes.Add(end.Outcome, 1)
-	s.metrics.run.Record(s.set.Service, now, now.Sub(began))
+	s.metrics.run.Record(s.set.Service, now, now.Sub(start))
 	leveled := level.Info
 	if end.Outcome != string(outcome.Completed) {
 		leveled = level.Warn
@@ -94,8 +97,9 @@
 	span.End()
 }
 
-// beginCall begins the call of the backend server and hands it the trace.
-func (s *Sidecar) beginCall(ctx context.Context, a *attempt) (context.Context, trace.Span) {
+// startCall starts the span of the call to the backend server and passes the
+// trace context on to it.
+func (s *Sidecar) startCall(ctx context.Context, a *attempt) (context.Context, trace.Span) {
 	ctx, span := s.tracer.Start(ctx, observe.SpanBackend, trace.SpanKindClient)
 	a.start.Traceparent = observe.Traceparent(ctx)
 	return ctx, span
--- a/transport/sidecar/metrics_test.go
+++ b/transport/sidecar/metrics_test.go
@@ -23,11 +23,11 @@
 	}
 }
 
-// Two sidecars of one program count for themselves.
-func TestMetricsBelongToTheirSidecar(t *testing.T) {
+// Two sidecars in one process have separate metrics.
+func TestMetricsArePerSidecar(t *testing.T) {
 	c := quicktest.New(t)
 	one, other := newTestSidecar(), newTestSidecar()
-	one.started()
+	one.recordStart()
 	c.Check(one.metrics.starts.Value(), quicktest.Equals, int64(1))
 	c.Check(one.metrics.lastStart.Value() > 0, quicktest.IsTrue)
 	c.Check(other.metrics.starts.Value(), quicktest.Equals, int64(0))
--- a/transport/sidecar/orders.go
+++ b/transport/sidecar/orders.go
@@ -15,25 +15,26 @@
 	"goldcrestport/transport/spread"
 )
 
-// Times of the orders' driver.
+// Intervals, timeouts and queue size of the reconciler.
 const (
-	ordersTick   = 200 * time.Millisecond
-	observeLimit = 5 * time.Second
-	permitLimit  = 5 * time.Second
-	eventsRing   = 64
+	ordersTickInterval = 200 * time.Millisecond
+	observeTimeout     = 5 * time.Second
+	permitTimeout      = 5 * time.Second
+	orderQueueSize     = 64
 )
 
-// drainByOrders names a change of role as a source of a drain.
+// drainByOrders is the drain source for a change of role.
 const drainByOrders = "orders"
 
-// reconciler is the duty that gives the engine its orders.
+// reconciler is the event loop that sends orders to the engine until it has
+// what the configuration wants.
 type reconciler struct {
-	s       *Sidecar
-	core    *orders.State
-	events  chan orders.Event
-	engine  *engine
-	permits *permits
-	left    atomic.Int64
+	s         *Sidecar
+	core      *orders.State
+	events    chan orders.Event
+	engine    *engine
+	permits   *permits
+	remaining atomic.Int64
 }
 
 func newReconciler(s *Sidecar) *reconciler {
@@ -43,14 +44,15 @@
 	return &reconciler{
 		s:       s,
 		core:    orders.New(cfg),
-		events:  make(chan orders.Event, eventsRing),
+		events:  make(chan orders.Event, orderQueueSize),
 		engine:  &engine{base: s.set.Backend.URL, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}},
 		permits: &permits{store: s.store, holder: s.holderName(), held: map[orders.Permit]*permit{}},
 	}
 }
 
-// wants hands a new configuration to the duty.
-func (r *reconciler) wants(ctx context.Context, doc *config.Document) {
+// setWanted sends the models and the role of a new configuration to the event
+// loop.
+func (r *reconciler) setWanted(ctx context.Context, doc *config.Document) {
 	service := doc.Services[r.s.set.Service]
 	want := orders.Want{Revision: doc.Revision, Role: service.Role}
 	for _, m := range service.Models {
@@ -63,9 +65,9 @@
 	duty.Post(ctx, r.events, ev)
 }
 
-// run is the duty's loop.
+// run processes events and ticks until ctx ends.
 func (r *reconciler) run(ctx context.Context) {
-	ticker := time.NewTicker(ordersTick)
+	ticker := time.NewTicker(ordersTickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -74,7 +76,7 @@
 		case ev := <-r.events:
 			r.step(ctx, ev)
 		case <-ticker.C:
-			r.step(ctx, orders.Running{Count: int(r.s.held.Load())})
+			r.step(ctx, orders.Running{Count: int(r.s.inFlight.Load())})
 		}
 	}
 }
@@ -87,7 +89,7 @@
 		case orders.Acquire:
 			go r.acquire(ctx, a.Permit)
 		case orders.Release:
-			go r.permits.release(ctx, r.permits.take(a.Permit))
+			go r.permits.release(ctx, r.permits.remove(a.Permit))
 		case orders.Pause:
 			r.s.drain.set(ctx, drainByOrders, a.On)
 		case orders.Validate:
@@ -96,15 +98,15 @@
 			go r.send(ctx, a.Order)
 		}
 	}
-	left := int64(r.core.Progress().Remaining)
-	if r.left.Swap(left) != left {
-		r.s.metrics.ordersLeft.Set(left)
-		_ = r.s.log.Log("event", "orders", "left", left, "revision", r.core.Progress().Revision)
+	remaining := int64(r.core.Progress().Remaining)
+	if r.remaining.Swap(remaining) != remaining {
+		r.s.metrics.ordersLeft.Set(remaining)
+		_ = r.s.log.Log("event", "orders", "left", remaining, "revision", r.core.Progress().Revision)
 	}
 }
 
 func (r *reconciler) observe(ctx context.Context, id uint64) {
-	sub, cancel := context.WithTimeout(ctx, observeLimit)
+	sub, cancel := context.WithTimeout(ctx, observeTimeout)
 	defer cancel()
 	have, err := r.engine.observe(sub)
 	if err != nil {
@@ -124,22 +126,22 @@
 	r.post(ctx, orders.Denied{Permit: p})
 }
 
-// validate checks right before an order that this process still speaks for its
-// engine. Engines that check the fencing token need no more than a fresh
-// configuration; for the others the platform itself is asked.
+// validate checks right before an order that this process is still responsible
+// for its engine. If the engine checks the fencing token, a fresh configuration
+// is enough; otherwise the revision is read from the platform itself.
 func (r *reconciler) validate(ctx context.Context) {
 	doc := r.s.doc.Load()
-	ok := doc != nil && !r.s.leaving.Load() && !r.s.spread.Stale() && r.s.Fence() != 0
+	ok := doc != nil && !r.s.shuttingDown.Load() && !r.s.spread.Stale() && r.s.Fence() != 0
 	out := orders.Validated{OK: ok, Revision: r.s.revision()}
 	if ok && !doc.Services[r.s.set.Service].ChecksFence {
-		out.Revision, out.OK = r.newest(ctx)
+		out.Revision, out.OK = r.newestRevision(ctx)
 	}
 	r.post(ctx, out)
 }
 
-// newest reads the newest revision from the platform.
-func (r *reconciler) newest(ctx context.Context) (uint64, bool) {
-	ctx, cancel := context.WithTimeout(ctx, permitLimit)
+// newestRevision reads the newest revision from the platform.
+func (r *reconciler) newestRevision(ctx context.Context) (uint64, bool) {
+	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
 	e, err := r.s.store.Get(ctx, spread.ConfigKey)
 	if err != nil {
@@ -156,13 +158,13 @@
 	r.s.metrics.ordersSent.Add(1)
 	sub, cancel := context.WithTimeout(ctx, r.s.set.Orders.Timeout.D())
 	defer cancel()
-	err := r.engine.give(sub, r.s.incarnation(), o)
+	err := r.engine.sendOrder(sub, r.s.incarnation(), o)
 	_ = r.s.log.Log("event", "order", "verb", o.Verb, "name", o.Item.Name, "version", o.Item.Version,
 		"order_role", o.Role, "fence", o.Fence, "err", err)
 	switch {
 	case err == nil:
 		r.post(ctx, orders.Answered{ID: o.ID})
-	case errors.Is(err, errFenced):
+	case errors.Is(err, errStaleFence):
 		r.post(ctx, orders.Answered{ID: o.ID, Refused: true})
 	default:
 		r.post(ctx, orders.Unanswered{ID: o.ID})
--- a/transport/sidecar/permits.go
+++ b/transport/sidecar/permits.go
@@ -15,15 +15,16 @@
 	"goldcrestport/transport/platform"
 )
 
-// permitTTL is the lease of a permit: how long one that is not given back
-// stays taken.
+// permitTTL is the lease time of a permit: how long a permit that is not
+// released stays taken.
 const permitTTL = 30 * time.Second
 
-// permitPrefix is the platform prefix of all permits.
+// permitPrefix is the key prefix of all permits on the platform.
 const permitPrefix = "goldcrest/permits"
 
-// permits are counted places on the platform, each a key under a lease, so
-// that over the whole fleet only so many do a thing at once.
+// permits is a distributed counting semaphore on the platform: each place is a
+// key under a lease. It bounds how many sidecars of the whole fleet do
+// something concurrently.
 type permits struct {
 	store  platform.Store
 	holder string
@@ -32,18 +33,18 @@
 	held map[orders.Permit]*permit
 }
 
-// permit is one place that is held.
+// permit is one place that this sidecar holds.
 type permit struct {
 	lease string
 	// stop ends the renewal of the lease.
 	stop context.CancelFunc
 }
 
-// acquire takes one of the places below the prefix. It returns false when all
-// are taken or the platform does not answer. lost is called if the lease
-// lapses later.
+// acquire takes one of the places below the prefix. It returns false if all
+// are taken or the platform does not respond. lost is called if the lease
+// expires later.
 func (p *permits) acquire(ctx context.Context, kind orders.Permit, prefix string, places int, lost func()) bool {
-	free, err := p.free(ctx, prefix, places)
+	free, err := p.freePlaces(ctx, prefix, places)
 	if err != nil || len(free) == 0 {
 		return false
 	}
@@ -53,7 +54,7 @@
 	}
 	place := free[rand.IntN(len(free))]
 	if _, err = p.store.Put(ctx, place, []byte(p.holder), 0, lease); err != nil {
-		// Also when the answer was lost: the place goes with the lease.
+		// Also if the response was lost: revoking the lease frees the place.
 		_ = p.store.Revoke(ctx, lease)
 		return false
 	}
@@ -65,8 +66,8 @@
 	return true
 }
 
-// free lists the places that nobody holds.
-func (p *permits) free(ctx context.Context, prefix string, places int) ([]string, error) {
+// freePlaces lists the places that are not taken.
+func (p *permits) freePlaces(ctx context.Context, prefix string, places int) ([]string, error) {
 	taken, _, err := p.store.List(ctx, prefix+"/")
 	if err != nil {
 		return nil, err
@@ -84,8 +85,8 @@
 	return out, nil
 }
 
-// renew keeps the lease until ctx ends. A lease that could not be renewed for
-// its whole length counts as lost, whatever the platform would say.
+// renew renews the lease until ctx ends. A lease that could not be renewed for
+// more than its TTL counts as lost, whatever its state on the platform.
 func (p *permits) renew(ctx context.Context, lease string, lost func()) {
 	last := time.Now()
 	for {
@@ -94,10 +95,10 @@
 			return
 		case <-time.After(permitTTL / 3):
 		}
-		began := time.Now()
+		start := time.Now()
 		err := p.store.Renew(ctx, lease)
 		if err == nil {
-			last = began
+			last = start
 			continue
 		}
 		if ctx.Err() == nil && (errors.Is(err, platform.ErrNotFound) || time.Since(last) > permitTTL) {
@@ -107,8 +108,8 @@
 	}
 }
 
-// take returns the held permit, which is then no longer held, or nil.
-func (p *permits) take(kind orders.Permit) *permit {
+// remove removes and returns the held permit, or nil if there is none.
+func (p *permits) remove(kind orders.Permit) *permit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	held := p.held[kind]
@@ -116,7 +117,7 @@
 	return held
 }
 
-// release gives the place back.
+// release frees the place.
 func (p *permits) release(ctx context.Context, held *permit) {
 	if held == nil {
 		return
@@ -125,7 +126,7 @@
 	_ = p.store.Revoke(ctx, held.lease)
 }
 
-// permitPlaces returns where a permit is taken and how many places there are.
+// permitPlaces returns the key prefix of a permit's places and their number.
 func (s *Sidecar) permitPlaces(p orders.Permit) (prefix string, places int) {
 	if p == orders.PermitLoad {
 		return permitPrefix + "/load", s.set.Orders.ConcurrentLoads
@@ -137,5 +138,6 @@
 	return path.Join(permitPrefix, "wave", s.set.Service), wave
 }
 
-// holderName tells an operator who looks at the platform who holds a place.
+// holderName returns the value stored under a place, by which an operator
+// identifies its holder.
 func (s *Sidecar) holderName() string { return fmt.Sprintf("%s %s", s.set.ID, s.incarnation()) }
--- a/transport/sidecar/run.go
+++ b/transport/sidecar/run.go
@@ -13,10 +13,10 @@
 	"goldcrestport/state/attempts"
 )
 
-// maxBody bounds a request body, in bytes.
+// maxBody bounds the size of a request body, in bytes.
 const maxBody = 64 << 20
 
-// Reasons of a Declined.
+// Reasons in a Declined message.
 const (
 	reasonNoSlot      = "no free slot"
 	reasonIncarnation = "another incarnation"
@@ -25,28 +25,29 @@
 	reasonLease       = "no lease"
 )
 
-// attempt is one attempt that this sidecar was offered.
+// attempt is one attempt of a request, offered to this sidecar by a router.
 type attempt struct {
-	// runs is the table that the attempt is in.
-	runs    *runs
-	key     uint64
-	id      attempts.ID
-	start   *wire.RunStart
-	verdict chan verdict
-	meter   meter
-	answer  *answer
-	// prefix of the prompt, 0 for none.
+	// runs is the table that contains the attempt.
+	runs     *runs
+	key      uint64
+	id       attempts.ID
+	start    *wire.RunStart
+	decision chan decision
+	meter    meter
+	response *responseBuffer
+	// prefix identifies the prompt prefix, 0 for none.
 	prefix uint64
-	// status of the backend server's answer, 0 before there is one.
+	// status is the HTTP status of the backend server's response, 0 before
+	// there is one.
 	status int
 	// received is when the attempt was offered.
 	received time.Time
-	// ctx of the run, which outlives the stream that started it.
+	// ctx is the context of the run, which outlives the stream that started it.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 }
 
-// lastKey numbers the attempts of this process.
+// lastKey is the last key assigned to an attempt of this process.
 var lastKey atomic.Uint64
 
 func (s *Sidecar) newAttempt(runs *runs, st *wire.RunStart) *attempt {
@@ -55,8 +56,8 @@
 		key:      lastKey.Add(1),
 		id:       idOf(st.Attempt),
 		start:    st,
-		verdict:  make(chan verdict, 1),
-		answer:   newAnswer(answerWindow),
+		decision: make(chan decision, 1),
+		response: newResponseBuffer(responseWindow),
 		prefix:   prefix.Of(st.Body),
 		received: time.Now(),
 	}
@@ -68,8 +69,8 @@
 
 // Run implements wire.DRPCSidecarServer.
 func (s *Sidecar) Run(stream wire.DRPCSidecar_RunStream) error {
-	s.held.Add(1)
-	defer s.held.Add(-1)
+	s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
 	up, err := stream.Recv()
 	if err != nil {
 		return err
@@ -91,19 +92,20 @@
 	}
 	switch runs.offer(idOf(st.Attempt)) {
 	case attempts.Unseen:
-		return s.offered(stream, runs, st, body)
+		return s.handleOffer(stream, runs, st, body)
 	case attempts.Blocked, attempts.Declined:
 		return s.decline(stream, reasonBlocked)
 	default:
-		return errors.New("run: the attempt is known")
+		return errors.New("run: the attempt was offered before")
 	}
 }
 
-// offered brings a new attempt to its verdict, and runs it.
-func (s *Sidecar) offered(stream wire.DRPCSidecar_RunStream, runs *runs, st *wire.RunStart, body []byte) error {
+// handleOffer waits for the decision on a new attempt and runs it if it is
+// admitted.
+func (s *Sidecar) handleOffer(stream wire.DRPCSidecar_RunStream, runs *runs, st *wire.RunStart, body []byte) error {
 	a := s.newAttempt(runs, st)
-	up := readUp(stream, a)
-	s.chooser.post(s.ctx, message{attempt: a, event: share.Offered{
+	up := readUpstream(stream, a)
+	s.scheduler.post(s.ctx, message{attempt: a, event: share.Offered{
 		Attempt:  a.key,
 		Pull:     st.Pull,
 		Router:   st.Router,
@@ -112,40 +114,41 @@
 		Estimate: wire.Amount(st.Estimate),
 	}})
 	select {
-	case v := <-a.verdict:
-		if v == verdictDecline {
+	case v := <-a.decision:
+		if v == decisionDecline {
 			a.runs.decline(a.id)
 			return s.decline(stream, reasonNoSlot)
 		}
 	case <-up.done:
 	}
-	if up.how() != upOpen {
+	if up.state() != upOpen {
 		s.withdraw(a)
-		return errors.New("run: the stream ended before the start")
+		return errors.New("run: the stream ended before the run started")
 	}
 	if !s.slot.mayStart(runs) {
 		s.withdraw(a)
 		return s.decline(stream, reasonLease)
 	}
 	if !runs.start(a) {
-		s.free(a)
+		s.releaseSlot(a)
 		return s.decline(stream, reasonWithdrawn)
 	}
-	s.started()
-	s.held.Add(1)
+	s.recordStart()
+	s.inFlight.Add(1)
 	go s.execute(a, body)
 	return s.deliver(stream, up, a, 0)
 }
 
-// withdraw gives up an attempt that was not started.
+// withdraw declines an attempt that was not started and releases its slot.
 func (s *Sidecar) withdraw(a *attempt) {
 	a.runs.decline(a.id)
-	s.free(a)
+	s.releaseSlot(a)
 }
 
-// free gives the attempt's slot back.
-func (s *Sidecar) free(a *attempt) {
-	s.chooser.post(s.ctx, message{event: share.Ended{
+// releaseSlot reports the end of the attempt to the scheduler, which frees its
+// slot.
+func (s *Sidecar) releaseSlot(a *attempt) {
+	s.scheduler.post(s.ctx, message{event: share.Ended{
 		Attempt:   a.key,
 		Cost:      a.meter.cost(),
 		Completed: a.status != 0 && a.meter.settled(),
@@ -160,7 +163,7 @@
 	}}})
 }
 
-// readBody collects the request body, which is bounded.
+// readBody reads the request body, of at most maxBody bytes.
 func readBody(stream wire.DRPCSidecar_RunStream, st *wire.RunStart) ([]byte, error) {
 	body := st.Body
 	if st.BodyRest < 0 || st.BodyRest > maxBody-int64(len(body)) {
@@ -171,12 +174,12 @@
 		if err != nil {
 			return nil, err
 		}
-		part := up.GetBody().GetData()
-		if len(part) == 0 || int64(len(part)) > rest {
-			return nil, errors.New("run: a body part has the wrong size")
+		chunk := up.GetBody().GetData()
+		if len(chunk) == 0 || int64(len(chunk)) > rest {
+			return nil, errors.New("run: body chunk is empty or exceeds the announced size")
 		}
-		body = append(body, part...)
-		rest -= int64(len(part))
+		body = append(body, chunk...)
+		rest -= int64(len(chunk))
 	}
 	return body, nil
 }
@@ -189,36 +192,36 @@
 	}
 	a := runs.find(idOf(st.Attempt))
 	if a == nil {
-		return errors.New("resume: the answer is not kept")
+		return errors.New("resume: the response is no longer buffered")
 	}
-	a.answer.ack(st.FromOffset)
-	return s.deliver(stream, readUp(stream, a), a, st.FromOffset)
+	a.response.ack(st.FromOffset)
+	return s.deliver(stream, readUpstream(stream, a), a, st.FromOffset)
 }
 
-// deliver sends the answer from the offset on. If the stream is lost, the run
-// goes on for the grace time, in which the router may resume it.
+// deliver sends the response from the offset on. If the stream is lost, the run
+// continues for the grace period, during which the router may resume it.
 func (s *Sidecar) deliver(stream wire.DRPCSidecar_RunStream, up *upstream, a *attempt, offset int64) error {
-	reader := a.answer.attach()
+	reader := a.response.attach()
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
 	stop := context.AfterFunc(up.ctx, cancel)
 	defer stop()
-	err := sendAnswer(ctx, stream, a, reader, offset)
+	err := sendResponse(ctx, stream, a, reader, offset)
 	if err == nil {
-		// The router closes the stream when it has the end.
+		// The router closes the stream once it has received the end.
 		select {
 		case <-up.done:
-		case <-time.After(closeWait):
+		case <-time.After(closeTimeout):
 		}
 	}
-	switch how := up.how(); {
-	case how == upCancelled:
+	switch state := up.state(); {
+	case state == upCancelled:
 		a.cancel(errCancelled)
-	case err == nil && how == upClosed:
+	case err == nil && state == upClosed:
 		a.runs.release(a.id)
-	case a.answer.detach(reader):
+	case a.response.detach(reader):
 		time.AfterFunc(s.set.Backend.ResumeGrace.D(), func() {
-			if a.answer.abandoned(reader) {
+			if a.response.abandoned(reader) {
 				a.cancel(errAbandoned)
 			}
 		})
@@ -226,18 +229,18 @@
 	return err
 }
 
-// closeWait is how long a stream is held open after the end was sent.
-const closeWait = time.Second
+// closeTimeout is how long a stream is kept open after the end was sent.
+const closeTimeout = time.Second
 
-// sendAnswer sends what the answer has from the offset on, until the end.
-func sendAnswer(ctx context.Context, stream wire.DRPCSidecar_RunStream, a *attempt, reader uint64, offset int64) error {
+// sendResponse sends the response from the offset on until its end.
+func sendResponse(ctx context.Context, stream wire.DRPCSidecar_RunStream, a *attempt, reader uint64, offset int64) error {
 	number := a.start.Attempt.Number
-	buf := buffers.Get().(*[readSize]byte)
-	defer buffers.Put(buf)
+	buf := readBuffers.Get().(*[readSize]byte)
+	defer readBuffers.Put(buf)
 	into := buf[:]
 	wantHead := true
 	for {
-		p, err := a.answer.next(ctx, reader, offset, wantHead, into)
+		p, err := a.response.next(ctx, reader, offset, wantHead, into)
 		if err != nil {
 			return err
 		}
--- a/transport/sidecar/runs.go
+++ b/transport/sidecar/runs.go
@@ -9,18 +9,19 @@
 	"goldcrestport/state/attempts"
 )
 
-// runs is the table of attempts of one incarnation, with the answers that are
-// still kept.
+// runs is the table of attempts of one incarnation, with the responses that
+// are still buffered.
 type runs struct {
 	incarnation string
-	// ctx ends when another incarnation takes over.
+	// ctx ends when a new incarnation replaces this one.
 	ctx    context.Context
 	retire context.CancelFunc
 
 	mu    sync.Mutex
 	table *attempts.Table
-	// live holds the running attempts and the ended ones with an answer.
-	live map[attempts.ID]*attempt
+	// retained holds the running attempts and the ended ones whose response is
+	// still buffered.
+	retained map[attempts.ID]*attempt
 }
 
 func newRuns(incarnation string, cfg attempts.Config) *runs {
@@ -30,7 +31,7 @@
 		ctx:         ctx,
 		retire:      retire,
 		table:       attempts.New(cfg),
-		live:        map[attempts.ID]*attempt{},
+		retained:    map[attempts.ID]*attempt{},
 	}
 }
 
@@ -50,26 +51,27 @@
 	r.table.Decline(time.Now(), id)
 }
 
-// start reports whether the attempt may run.
+// start marks the attempt as running and reports whether it may run.
 func (r *runs) start(a *attempt) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.table.Start(a.id) {
 		return false
 	}
-	r.live[a.id] = a
+	r.retained[a.id] = a
 	return true
 }
 
-// end adds the end to the answer, so that it and the table tell the same.
+// end adds the end to the response and to the table under one lock, so that
+// the two always agree.
 func (r *runs) end(a *attempt, e *wire.End) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a.answer.finish(e)
-	r.drop(r.table.End(time.Now(), a.id, a.answer.size()))
+	a.response.finish(e)
+	r.drop(r.table.End(time.Now(), a.id, a.response.size()))
 }
 
-// release drops an answer that the router has whole.
+// release drops a response that the router has received completely.
 func (r *runs) release(id attempts.ID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,41 +80,42 @@
 	}
 }
 
-// expire drops the answers that are too old.
+// expire drops the responses that are too old.
 func (r *runs) expire() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.drop(r.table.Expire(time.Now()))
 }
 
-// drop is called with mu held.
+// drop discards the responses of the attempts. It is called with mu locked.
 func (r *runs) drop(ids []attempts.ID) {
 	for _, id := range ids {
-		if a := r.live[id]; a != nil {
-			a.answer.drop()
-			delete(r.live, id)
+		if a := r.retained[id]; a != nil {
+			a.response.drop()
+			delete(r.retained, id)
 		}
 	}
 }
 
-// find returns a running attempt, or an ended one with its answer.
+// find returns a running attempt, or an ended one whose response is still
+// buffered, or nil.
 func (r *runs) find(id attempts.ID) *attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.live[id]
+	return r.retained[id]
 }
 
-// cancelAll ends every run with the cause.
+// cancelAll cancels every run with the cause.
 func (r *runs) cancelAll(cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, a := range r.live {
+	for _, a := range r.retained {
 		a.cancel(cause)
 	}
 }
 
-// settle tells the fate of an attempt and makes sure that it does not run
-// later if it does not run now.
+// settle returns the fate of an attempt. Unless the request only peeks, an
+// attempt that has not started is blocked from running later.
 func (r *runs) settle(req *wire.SettleRequest) attempts.Fate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/transport/sidecar/settle.go
+++ b/transport/sidecar/settle.go
@@ -9,7 +9,7 @@
 	"goldcrestport/state/attempts"
 )
 
-// fates are the wire's words for the phases. Everything else is unspecified.
+// fates maps phases to their wire values. All other phases are unspecified.
 var fates = map[attempts.Phase]wire.Fate{
 	attempts.Offered:  wire.Fate_FATE_WAITING,
 	attempts.Declined: wire.Fate_FATE_DECLINED,
@@ -26,15 +26,15 @@
 	runs := s.runs.Load()
 	out := &wire.SettleResponse{Incarnation: runs.incarnation}
 	if req.Attempt.Incarnation != runs.incarnation {
-		// What another incarnation ran is not known here, and it can't be
-		// blocked for it.
+		// Attempts of another incarnation are unknown here and cannot be
+		// blocked.
 		out.Fate = wire.Fate_FATE_OTHER_INCARNATION
 		return out, nil
 	}
 	fate := runs.settle(req)
 	out.Fate, out.AnswerKept = fates[fate.Phase], fate.AnswerKept
 	if a := runs.find(idOf(req.Attempt)); a != nil {
-		out.Length = a.answer.length()
+		out.Length = a.response.length()
 	}
 	return out, nil
 }
--- a/transport/sidecar/sidecar.go
+++ b/transport/sidecar/sidecar.go
@@ -1,8 +1,8 @@
-// Package sidecar runs the process beside one backend server. It is the only
-// way to that server: it owns the concurrency limit, the fair choice between
-// teams and the runs themselves.
+// Package sidecar implements the process that runs beside one backend server.
+// All requests to that server pass through it: it enforces the concurrency
+// limit, schedules fairly between teams and executes the requests.
 //
-// cmd/goldcrestd calls it. Routers reach it over drpc.
+// cmd/goldcrestd starts it. Routers connect to it over drpc.
 package sidecar
 
 import (
@@ -29,14 +29,14 @@
 	"goldcrestport/transport/spread"
 )
 
-// Bounds of the pool of idle connections to peers.
+// Limits of the pool of idle connections to peers.
 const (
 	idleConns        = 64
 	idleConnsPerPeer = 2
 	idleConnTime     = time.Minute
 )
 
-// Sidecar is the process.
+// Sidecar is the process in front of one backend server.
 type Sidecar struct {
 	wire.DRPCSidecarUnimplementedServer
 
@@ -46,31 +46,31 @@
 	directory platform.Directory
 	pool      *link.Pool
 	spread    *spread.Spreader
-	chooser   *chooser
+	scheduler *scheduler
 	exchanger *exchanger
 	limits    *limits
 	backend   *backend
-	// runs of the present incarnation.
-	runs       atomic.Pointer[runs]
-	slot       *slot
-	drain      *drain
-	reconciler *reconciler
-	doc        atomic.Pointer[config.Document]
-	leaving    atomic.Bool
-	ctx        context.Context
-	metrics    *metrics
-	tracer     *observe.Tracer
-
-	// held counts the streams and runs that have not ended.
-	held   atomic.Int64
-	starts atomic.Int64
+	// runs is the table of attempts of the current incarnation.
+	runs         atomic.Pointer[runs]
+	slot         *slot
+	drain        *drain
+	reconciler   *reconciler
+	doc          atomic.Pointer[config.Document]
+	shuttingDown atomic.Bool
+	ctx          context.Context
+	metrics      *metrics
+	tracer       *observe.Tracer
+
+	// inFlight counts the Run streams and runs that have not ended.
+	inFlight atomic.Int64
+	starts   atomic.Int64
 	// startedAt is when the last run started, in Unix nanoseconds.
 	startedAt atomic.Int64
 	abort     chan struct{}
 	abortOnce sync.Once
 }
 
-// New returns a sidecar that has not bound anything yet.
+// New returns a sidecar that has not bound its listeners yet.
 func New(set settings.Sidecar, store platform.Store, dir platform.Directory, logger log.Logger) *Sidecar {
 	s := &Sidecar{
 		set:       set,
@@ -86,20 +86,20 @@
 	incarnation := uuid.NewString()
 	cfg := shareConfig(set, incarnation)
 	s.spread = s.newSpreader()
-	s.chooser = newChooser(share.New(cfg), s.spread, set.Listen.Peers)
-	s.chooser.show = s.metrics.choice.set
+	s.scheduler = newScheduler(share.New(cfg), s.spread, set.Listen.Peers)
+	s.scheduler.publish = s.metrics.share.set
 	s.exchanger = newExchanger(s, incarnation)
 	s.limits = newLimits(s)
-	s.chooser.ejected = s.limits.out.Load
+	s.scheduler.ejected = s.limits.ejected.Load
 	s.drain = newDrain(s)
 	s.runs.Store(newRuns(incarnation, attempts.DefaultConfig()))
 	s.slot = newSlot(s)
 	s.reconciler = newReconciler(s)
-	s.chooser.ordersLeft = func() int { return int(s.reconciler.left.Load()) }
+	s.scheduler.ordersRemaining = func() int { return int(s.reconciler.remaining.Load()) }
 	return s
 }
 
-// shareConfig returns the parameters of the choice from the settings.
+// shareConfig returns the parameters of the fair-share core from the settings.
 func shareConfig(set settings.Sidecar, incarnation string) share.Config {
 	cfg := share.DefaultConfig()
 	cfg.Policy = share.Policy(set.Policy)
@@ -110,7 +110,8 @@
 	return cfg
 }
 
-// incarnation returns the id under which this process knows of its attempts.
+// incarnation returns the id of the current incarnation, which scopes the
+// table of attempts.
 func (s *Sidecar) incarnation() string { return s.runs.Load().incarnation }
 
 func (s *Sidecar) revision() uint64 {
@@ -128,8 +129,8 @@
 	return d.Services[s.set.Service].Kind
 }
 
-// Serve binds the listeners and serves until stop is closed; it returns when
-// what runs has ended or the stop bound has passed.
+// Serve binds the listeners and serves until stop is closed. It returns when
+// all running requests have ended or the shutdown's time limit has passed.
 func (s *Sidecar) Serve(stop <-chan struct{}) error {
 	if err := limitConfig(s.set.Backend).Validate(); err != nil {
 		return errors.Wrap(err, "settings: backend")
@@ -150,10 +151,10 @@
 	}
 	mux := http.NewServeMux()
 	observe.Health{Ready: s.ready, Vars: s.metrics.vars}.Mount(mux)
-	go s.chooser.run(ctx)
+	go s.scheduler.run(ctx)
 	go s.exchanger.run(ctx)
 	go s.limits.run(ctx)
-	go s.expireAnswers(ctx)
+	go s.expireResponses(ctx)
 	go s.reconciler.run(ctx)
 	go s.slot.run(ctx)
 	go s.spread.Run(ctx)
@@ -161,16 +162,16 @@
 	go func() { _ = link.ServeSidecar(ctx, peers, s) }()
 	_ = s.log.Log("event", "serving", "incarnation", s.incarnation(), "service", s.set.Service, "peers", s.set.Listen.Peers)
 	<-stop
-	s.leave()
+	s.shutDown()
 	return nil
 }
 
-// expireEvery is the period in which old answers are dropped.
-const expireEvery = time.Second
+// expireInterval is the interval at which old responses are dropped.
+const expireInterval = time.Second
 
-// expireAnswers drops old answers until ctx ends.
-func (s *Sidecar) expireAnswers(ctx context.Context) {
-	ticker := time.NewTicker(expireEvery)
+// expireResponses drops old responses until ctx ends.
+func (s *Sidecar) expireResponses(ctx context.Context) {
+	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -182,8 +183,8 @@
 	}
 }
 
-// started counts the start of a run.
-func (s *Sidecar) started() {
+// recordStart records the start of a run.
+func (s *Sidecar) recordStart() {
 	now := time.Now()
 	s.starts.Add(1)
 	s.startedAt.Store(now.UnixNano())
@@ -195,7 +196,7 @@
 func (s *Sidecar) lastStart() time.Time { return time.Unix(0, s.startedAt.Load()).UTC() }
 
 func (s *Sidecar) ready() error {
-	if s.leaving.Load() {
+	if s.shuttingDown.Load() {
 		return errors.New("leaving")
 	}
 	if err := s.slot.ready(); err != nil {
--- a/transport/sidecar/slot.go
+++ b/transport/sidecar/slot.go
@@ -14,31 +14,32 @@
 	"goldcrestport/transport/platform"
 )
 
-// SlotPrefix is the platform's prefix of the keys that hold the slots.
+// SlotPrefix is the prefix of the platform keys that store the slot holders.
 const SlotPrefix = "goldcrest/slots/"
 
-// slotEvery is the period in which the hold on the slot is looked at.
-const slotEvery = 500 * time.Millisecond
+// slotInterval is the interval at which the state of the slot's lease is checked.
+const slotInterval = 500 * time.Millisecond
 
-// slotCall bounds the calls to the platform for one action.
-const slotCall = 10 * time.Second
+// slotActionTimeout bounds the platform calls of one action.
+const slotActionTimeout = 10 * time.Second
 
-// holder is the value of a slot's key.
+// holder is the value stored under a slot's key.
 type holder struct {
 	Incarnation string `json:"incarnation"`
-	// Address that the holder has bound. Another process that has bound the
-	// same address knows that the holder is gone.
+	// Address is the address that the holder has bound. Another process that
+	// has bound the same address can conclude that the holder is gone.
 	Address string `json:"address"`
 }
 
-// slot is the duty that holds the sidecar's slot at the platform.
+// slot is the event loop that holds the lease of the sidecar's slot on the
+// platform.
 type slot struct {
 	s *Sidecar
 
 	mu   sync.Mutex
 	core *lease.State
-	// id of the lease, empty if none, and the fencing token: the version of
-	// the key, which rises with each holder.
+	// id is the lease's id, empty if there is none. fence is the fencing token:
+	// the version of the key, which increases with each holder.
 	id    string
 	fence uint64
 }
@@ -51,15 +52,15 @@
 
 func (l *slot) key() string { return SlotPrefix + l.s.set.ID }
 
-// mayStart reports whether a run of the incarnation may be started now.
+// mayStart reports whether the incarnation of the table may start a run now.
 func (l *slot) mayStart(r *runs) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return r == l.s.runs.Load() && l.core.MayStart(time.Now())
 }
 
-// Fence returns the fencing token of the slot's present holder, 0 if the slot
-// is not held for sure.
+// Fence returns the fencing token under which this process holds the slot, 0
+// if it is not certain to hold it.
 func (s *Sidecar) Fence() uint64 {
 	l := s.slot
 	l.mu.Lock()
@@ -79,9 +80,9 @@
 	return nil
 }
 
-// run is the duty's loop.
+// run steps the lease state until ctx ends.
 func (l *slot) run(ctx context.Context) {
-	ticker := time.NewTicker(slotEvery)
+	ticker := time.NewTicker(slotInterval)
 	defer ticker.Stop()
 	for {
 		if act := l.step(ctx, lease.Ticked{}); act != nil {
@@ -95,7 +96,7 @@
 	}
 }
 
-// step applies one event and drains the sidecar while it may start nothing.
+// step applies one event and drains the sidecar while it may not start runs.
 func (l *slot) step(ctx context.Context, ev lease.Event) lease.Action {
 	l.mu.Lock()
 	before := l.core.Phase()
@@ -111,7 +112,7 @@
 }
 
 func (l *slot) perform(ctx context.Context, act lease.Action) lease.Event {
-	ctx, cancel := context.WithTimeout(ctx, slotCall)
+	ctx, cancel := context.WithTimeout(ctx, slotActionTimeout)
 	defer cancel()
 	switch act := act.(type) {
 	case lease.Renew:
@@ -122,7 +123,7 @@
 	return lease.NoAnswer{}
 }
 
-// renew renews the lease and, on a verify, reads back who holds the key.
+// renew renews the lease and, if verify is set, reads back who holds the key.
 func (l *slot) renew(ctx context.Context, verify bool) lease.Event {
 	sent := time.Now()
 	l.mu.Lock()
@@ -152,13 +153,13 @@
 	if err != nil {
 		return h, 0, err
 	}
-	// A value that can't be read is held by nobody that is known.
+	// A value that cannot be decoded counts as an unknown holder.
 	_ = json.Unmarshal(e.Value, &h)
 	return h, e.Version, nil
 }
 
-// acquire takes the slot by compare-and-swap, if nobody holds it or its holder
-// is known to be gone.
+// acquire takes the slot by compare-and-swap if it has no holder or its holder
+// is known to be gone. If fresh is set, it does so as a new incarnation.
 func (l *slot) acquire(ctx context.Context, fresh bool) lease.Event {
 	sent := time.Now()
 	own := holder{Incarnation: l.s.runs.Load().incarnation, Address: l.s.set.Listen.Peers}
@@ -185,13 +186,14 @@
 	l.id, l.fence = id, fence
 	l.mu.Unlock()
 	if fresh {
-		l.s.reborn(own.Incarnation)
+		l.s.startIncarnation(own.Incarnation)
 	}
 	return lease.Acquired{Sent: sent}
 }
 
-// write writes the key. A write whose answer was lost is read back. It returns
-// the event that ends the try, or nil if the key was written.
+// write writes the key and returns its new version. If the response is lost,
+// the key is read back. The event is that of a failed write, nil if the key was
+// written.
 func (l *slot) write(ctx context.Context, own holder, version uint64, id string) (uint64, lease.Event) {
 	value, err := json.Marshal(own)
 	if err != nil {
@@ -214,13 +216,15 @@
 	return fence, nil
 }
 
-// reborn makes the process another incarnation, which knows of no attempt.
-func (s *Sidecar) reborn(incarnation string) {
+// startIncarnation replaces the incarnation of the process; the new one has an
+// empty table of attempts.
+func (s *Sidecar) startIncarnation(incarnation string) {
 	old := s.runs.Swap(newRuns(incarnation, attempts.DefaultConfig()))
 	old.retire()
 }
 
-// release gives the slot back, so that a successor need not wait.
+// release revokes the slot's lease, so that a successor need not wait for it to
+// expire.
 func (l *slot) release() {
 	l.mu.Lock()
 	id := l.id
--- a/transport/sidecar/slot_test.go
+++ b/transport/sidecar/slot_test.go
@@ -15,8 +15,8 @@
 	"goldcrestport/transport/platform"
 )
 
-// slotStore is a key-value service with leases, which can be down or lose the
-// answer of a write.
+// slotStore is a key-value store with leases that can be unavailable or lose the
+// response to a write.
 type slotStore struct {
 	platform.Store
 	mu      sync.Mutex
@@ -30,7 +30,7 @@
 
 func newSlotStore() *slotStore { return &slotStore{leases: map[string]time.Time{}} }
 
-// enter locks the store, drops what has lapsed and fails if it is down.
+// enter locks the store, removes expired leases and fails if the store is down.
 func (s *slotStore) enter() error {
 	s.mu.Lock()
 	for id, until := range s.leases {
@@ -111,20 +111,21 @@
 	return err
 }
 
-// startSlot runs the duty of a sidecar that has bound the address.
+// startSlot runs the scheduler and the slot's event loop of a sidecar that has
+// bound the address.
 func startSlot(ctx context.Context, store platform.Store, address string) *Sidecar {
 	set := settings.DefaultSidecar()
 	set.ID, set.Listen.Peers = "sidecar-1", address
 	s := New(set, store, nil, log.NewNopLogger())
 	s.ctx = ctx
-	go s.chooser.run(ctx)
+	go s.scheduler.run(ctx)
 	go s.slot.run(ctx)
 	return s
 }
 
 func serves(s *Sidecar) bool { return s.slot.mayStart(s.runs.Load()) }
 
-// bubble runs the test with a time of its own.
+// bubble runs the test in a synctest bubble with a fake clock.
 func bubble(t *testing.T, test func(c *qt.C, ctx context.Context, store *slotStore)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -155,9 +156,9 @@
 	})
 }
 
-// A successor that has bound the same address need not wait for the lease of
-// one that was killed.
-func TestSuccessorAtTheSameAddressServesAtOnce(t *testing.T) {
+// A successor that has bound the same address need not wait for the lease of its
+// killed predecessor to expire.
+func TestSuccessorAtTheSameAddressServesImmediately(t *testing.T) {
 	bubble(t, func(c *qt.C, ctx context.Context, store *slotStore) {
 		firstCtx, kill := context.WithCancel(ctx)
 		startSlot(firstCtx, store, "10.0.0.1:1")
@@ -187,7 +188,7 @@
 	})
 }
 
-func TestLostAnswerOfTheClaimIsReadBack(t *testing.T) {
+func TestKeyIsReadBackAfterALostPutResponse(t *testing.T) {
 	bubble(t, func(c *qt.C, ctx context.Context, store *slotStore) {
 		store.lost = 1
 		s := startSlot(ctx, store, "10.0.0.1:1")
--- a/transport/sidecar/spread.go
+++ b/transport/sidecar/spread.go
@@ -13,17 +13,18 @@
 	"goldcrestport/transport/spread"
 )
 
-// startJitter is the longest wait of a starting sidecar for the first word of
-// a router, before it reads the platform itself.
+// startJitter is how long a starting sidecar waits at most for the first
+// message of a router before it reads the platform itself.
 const startJitter = 3 * time.Second
 
-// newSpreader returns the duty that keeps the configuration and the instance
-// list of this sidecar. Sidecars never wait at the platform.
+// newSpreader returns the event loop that keeps this sidecar's configuration
+// and instance list up to date. Sidecars never long-poll the platform.
 func (s *Sidecar) newSpreader() *spread.Spreader {
 	cfg := corespread.DefaultConfig()
 	cfg.Self, cfg.DataCentre = s.set.ID, s.set.DataCentre
 	cfg.Seed = uint64(time.Now().UnixNano())
-	// Routers greet a sidecar soon; until then it need not ask the platform.
+	// Routers connect to a new sidecar soon; until then it need not query the
+	// platform.
 	cfg.StartJitter = startJitter
 	sp := spread.New(spread.Options{
 		Self:           cfg,
@@ -34,25 +35,26 @@
 		Asker:          spread.PoolAsker{Pool: s.pool},
 		Log:            s.log,
 	})
-	sp.OnDocument(s.adopt)
-	sp.OnAnnounce(func(uint64) { s.chooser.post(s.ctx, message{announce: true}) })
+	sp.OnDocument(s.applyDocument)
+	sp.OnAnnounce(func(uint64) { s.scheduler.post(s.ctx, message{reportNow: true}) })
 	return sp
 }
 
-// adopt puts a newer document in force.
-func (s *Sidecar) adopt(doc *config.Document) {
+// applyDocument puts a newer configuration document into effect.
+func (s *Sidecar) applyDocument(doc *config.Document) {
 	s.doc.Store(doc)
 	shares := make(map[string]float64, len(doc.Teams))
 	for name, t := range doc.Teams {
 		shares[name] = t.Share
 	}
-	s.chooser.post(s.ctx, message{event: share.SharesSet{Shares: shares}})
+	s.scheduler.post(s.ctx, message{event: share.SharesSet{Shares: shares}})
 	s.drain.set(s.ctx, drainByConfig, slices.Contains(doc.Drain, s.set.ID) || slices.Contains(doc.Evacuate, s.set.DataCentre))
-	s.reconciler.wants(s.ctx, doc)
+	s.reconciler.setWanted(s.ctx, doc)
 }
 
-// heard takes a router's word on its revision.
-func (s *Sidecar) heard(address string, revision uint64, ageMS int64) {
+// receiveRevision processes a router's report of its configuration revision
+// and of that revision's staleness.
+func (s *Sidecar) receiveRevision(address string, revision uint64, ageMS int64) {
 	if address == "" {
 		return
 	}
--- a/transport/sidecar/stream_fuzz_test.go
+++ b/transport/sidecar/stream_fuzz_test.go
@@ -16,16 +16,16 @@
 	"goldcrestport/state/config"
 )
 
-// cutReader hands the text out in parts of the given sizes and calls seen
+// cutReader returns the text in chunks of the given sizes and calls onRead
 // before each.
 type cutReader struct {
-	text []byte
-	cuts []byte
-	seen func()
+	text   []byte
+	cuts   []byte
+	onRead func()
 }
 
 func (r *cutReader) Read(p []byte) (int, error) {
-	r.seen()
+	r.onRead()
 	if len(r.text) == 0 {
 		return 0, io.EOF
 	}
@@ -38,10 +38,10 @@
 	return n, nil
 }
 
-// costOf copies an answer that comes in the parts and returns its cost. It
-// checks the bytes, and the cost on the way.
+// costOf copies a response that arrives in the given chunks and returns its cost.
+// It checks the copied bytes, and that the cost never decreases meanwhile.
 func costOf(c *qt.C, text, cuts []byte) float64 {
-	a := &attempt{answer: newAnswer(len(text) + 1)}
+	a := &attempt{response: newResponseBuffer(len(text) + 1)}
 	a.meter.kind, a.meter.promptWeight = config.KindModel, 0.1
 	a.meter.start(time.Now())
 	last := 0.0
@@ -50,11 +50,11 @@
 		c.Check(cost >= last, qt.IsTrue, qt.Commentf("%v after %v", cost, last))
 		last = cost
 	}
-	end := copyAnswer(context.Background(), a, &cutReader{text: text, cuts: cuts, seen: watch})
+	end := copyResponse(context.Background(), a, &cutReader{text: text, cuts: cuts, onRead: watch})
 	c.Check(end.Outcome, qt.Equals, string(outcome.Completed))
 	c.Check(end.Length, qt.Equals, int64(len(text)))
 	c.Check(end.Checksum, qt.Equals, xxhash.Sum64(text))
-	c.Check(bytes.Equal(a.answer.buf, text), qt.IsTrue)
+	c.Check(bytes.Equal(a.response.buf, text), qt.IsTrue)
 	cost := a.meter.cost()
 	c.Check(cost >= 0 && !math.IsInf(cost, 0), qt.IsTrue, qt.Commentf("%v", cost))
 	c.Check(a.meter.cost(), qt.Equals, cost)
@@ -62,9 +62,9 @@
 	return cost
 }
 
-// Whatever an engine sends, in whatever parts: the bytes pass unchanged, the
-// cost counted while it runs never falls, the settled one is no less than
-// nothing, and neither depends on where the parts end.
+// Whatever an engine sends, in whatever chunks: the bytes are copied unchanged,
+// the running cost never decreases, the final cost is not negative, and neither
+// depends on the chunk boundaries.
 func FuzzEngineStream(f *testing.F) {
 	event := "data: {\"choices\":[]}\n\n"
 	for _, text := range []string{
@@ -84,7 +84,8 @@
 	})
 }
 
-// A usage that could not be read leaves nothing behind for the next one.
+// A usage object that cannot be decoded must not leave partial values that are
+// taken for those of another event.
 func TestUsageIsReadFromOneEvent(t *testing.T) {
 	c := qt.New(t)
 	_, ok := lastUsage([]byte("data: {}\n\ndata: {\"usage\":{\"completion_tokens\":9},\"usage\":7}\n\n"))
--- a/transport/sidecar/timing.go
+++ b/transport/sidecar/timing.go
@@ -12,42 +12,44 @@
 	"goldcrestport/transport/duty"
 )
 
-// timedBody measures when the tokens of a streamed answer come. Only the time
-// in Read counts, so that a slow caller does not look like a slow engine.
+// timedBody measures the arrival times of the tokens of a streamed response.
+// Only the time spent in Read counts, so that a slow caller does not look like a
+// slow engine.
 type timedBody struct {
-	*followed
+	*trackedBody
 	limits *limits
-	// waited since the last token.
-	waited time.Duration
-	any    bool
+	// waited is the time spent in Read since the last token.
+	waited   time.Duration
+	hasToken bool
 }
 
-// timed returns the answer's body with its tokens timed if it is streamed.
-func (l *limits) timed(answer *followed, began time.Time) io.Reader {
-	if !answer.isStream {
-		return answer
+// timeTokens returns the response's body, with its tokens timed if it is
+// streamed.
+func (l *limits) timeTokens(body *trackedBody, start time.Time) io.Reader {
+	if !body.isStream {
+		return body
 	}
-	return &timedBody{followed: answer, limits: l, waited: time.Since(began)}
+	return &timedBody{trackedBody: body, limits: l, waited: time.Since(start)}
 }
 
 // Read implements io.Reader.
 func (t *timedBody) Read(p []byte) (int, error) {
-	began, before := time.Now(), t.position.Count()
-	n, err := t.followed.Read(p)
-	t.waited += time.Since(began)
+	start, before := time.Now(), t.position.Count()
+	n, err := t.trackedBody.Read(p)
+	t.waited += time.Since(start)
 	if tokens := t.position.Count() - before; tokens > 0 {
-		t.tokens(int64(tokens))
+		t.record(int64(tokens))
 	}
 	return n, err
 }
 
-// tokens takes n tokens that came together.
-func (t *timedBody) tokens(n int64) {
-	m := sample{first: !t.any, time: t.waited, n: 1}
-	if t.any {
+// record records n tokens that arrived together.
+func (t *timedBody) record(n int64) {
+	m := sample{first: !t.hasToken, time: t.waited, n: 1}
+	if t.hasToken {
 		m.time, m.n = t.waited/time.Duration(n), n
 	}
-	t.any, t.waited = true, 0
+	t.hasToken, t.waited = true, 0
 	select {
 	case t.limits.samples <- m:
 	default:
@@ -55,22 +57,23 @@
 	}
 }
 
-// begin tells that the run starts.
-func (l *limits) begin(ctx context.Context, a *attempt) {
+// runStarted reports the start of a run.
+func (l *limits) runStarted(ctx context.Context, a *attempt) {
 	l.post(ctx, runEvent{run: a.key, team: a.start.Team})
 }
 
-// end tells how the run ended.
-func (l *limits) end(ctx context.Context, a *attempt, end *wire.End) {
+// runEnded reports how a run ended.
+func (l *limits) runEnded(ctx context.Context, a *attempt, end *wire.End) {
 	l.post(ctx, runEvent{run: a.key, team: a.start.Team, ended: true, result: resultOf(end, a.status)})
 }
 
-// post hands an event to the duty, waiting while its ring is full.
+// post sends an event to the event loop, blocking while its queue is full.
 func (l *limits) post(ctx context.Context, e runEvent) {
 	duty.Post(ctx, l.runs, e)
 }
 
-// resultOf tells what the end of a run says of the backend server.
+// resultOf returns what the end of a run indicates about the backend server's
+// health.
 func resultOf(end *wire.End, status int) limit.Result {
 	switch {
 	case end.Outcome == string(outcome.Completed) && status >= http.StatusInternalServerError:
--- a/transport/sidecar/upstream.go
+++ b/transport/sidecar/upstream.go
@@ -9,31 +9,32 @@
 	"goldcrestport/protocol/wire"
 )
 
-// upEnd is how a router's side of a Run stream ended.
-type upEnd int
+// upstreamState is the state of a router's side of a Run stream.
+type upstreamState int
 
 const (
 	// upOpen means that it has not ended.
-	upOpen upEnd = iota
-	// upLost means that the link was lost.
+	upOpen upstreamState = iota
+	// upLost means that the connection was lost.
 	upLost
 	// upClosed means that the router closed the stream.
 	upClosed
-	// upCancelled means that the caller went away.
+	// upCancelled means that the router cancelled the run because the caller
+	// disconnected.
 	upCancelled
 )
 
-// upstream is the router's side of one Run stream, after the body.
+// upstream reads the router's side of one Run stream after the request body.
 type upstream struct {
 	ctx  context.Context
 	done chan struct{}
-	// end is written before done is closed and read after.
-	end upEnd
+	// end is written before done is closed and read only afterwards.
+	end upstreamState
 }
 
-// readUp reads the router's side in the background until it ends. It always
-// reads, so that a lost link is seen at once.
-func readUp(stream wire.DRPCSidecar_RunStream, a *attempt) *upstream {
+// readUpstream reads the router's side in the background until it ends. It
+// reads continuously, so that a lost connection is detected at once.
+func readUpstream(stream wire.DRPCSidecar_RunStream, a *attempt) *upstream {
 	ctx, cancel := context.WithCancel(context.Background())
 	u := &upstream{ctx: ctx, done: make(chan struct{})}
 	go func() {
@@ -44,7 +45,7 @@
 	return u
 }
 
-func (u *upstream) read(stream wire.DRPCSidecar_RunStream, a *attempt) upEnd {
+func (u *upstream) read(stream wire.DRPCSidecar_RunStream, a *attempt) upstreamState {
 	for {
 		up, err := stream.Recv()
 		switch {
@@ -55,13 +56,13 @@
 		case up.GetCancel() != nil:
 			return upCancelled
 		case up.GetAck() != nil:
-			a.answer.ack(up.GetAck().Offset)
+			a.response.ack(up.GetAck().Offset)
 		}
 	}
 }
 
-// how returns how the side ended, or upOpen.
-func (u *upstream) how() upEnd {
+// state returns how the router's side ended, or upOpen if it has not.
+func (u *upstream) state() upstreamState {
 	select {
 	case <-u.done:
 		return u.end
