--- a/transport/sidecar/backend_test.go
+++ b/transport/sidecar/backend_test.go
@@ -32,14 +32,14 @@
 			for _, key := range []string{"", "k"} {
 				for _, idempotent := range []bool{true, false} {
 					name := fmt.Sprintf("%s body=%q key=%q idempotent=%v", method, body, key, idempotent)
-					t.Run(name, func(t *testing.T) { sentOnce(t, startOf(method, "/x", idempotent, key), body) })
+					t.Run(name, func(t *testing.T) { checkSentOnce(t, startOf(method, "/x", idempotent, key), body) })
 				}
 			}
 		}
 	}
 }
 
-func sentOnce(t *testing.T, st *wire.RunStart, body string) {
+func checkSentOnce(t *testing.T, st *wire.RunStart, body string) {
 	var runs atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
--- a/transport/sidecar/engine.go
+++ b/transport/sidecar/engine.go
@@ -73,7 +73,7 @@
 // sendOrder sends one order. errStaleFence means that it was refused; after
 // any other error it is unknown whether the order takes effect.
 func (e *engine) sendOrder(ctx context.Context, incarnation string, o orders.Order) error {
-	out := engineOrder{
+	order := engineOrder{
 		Fence:   o.Fence,
 		ID:      incarnation + "/" + strconv.FormatUint(o.ID, 10),
 		Action:  string(o.Verb),
@@ -82,12 +82,12 @@
 		Role:    o.Role,
 	}
 	if o.Verb != orders.SetRole {
-		out.Kind = "model"
+		order.Kind = "model"
 		if o.Item.Adapter {
-			out.Kind = "adapter"
+			order.Kind = "adapter"
 		}
 	}
-	data, err := json.Marshal(out)
+	data, err := json.Marshal(order)
 	if err != nil {
 		return err
 	}
--- a/transport/sidecar/exchange_test.go
+++ b/transport/sidecar/exchange_test.go
@@ -36,7 +36,7 @@
 
 func (p *peerPool) call(ctx context.Context, addr string, m *wire.Counters) (*wire.Counters, error) {
 	if p.down[addr] {
-		return nil, errors.New("no answer")
+		return nil, errors.New("peer is down")
 	}
 	return p.peers[addr].handle(ctx, m)
 }
@@ -114,11 +114,11 @@
 	a.serve("team", 1, 30)
 	b.serve("team", 1, 50)
 	a.round(ctx)
-	again := pool.add("a", "2")
-	again.round(ctx)
-	c.Assert(again.known()["b/1/team"], qt.Equals, 50.0)
-	again.serve("team", 1, 7)
-	again.round(ctx)
+	restarted := pool.add("a", "2")
+	restarted.round(ctx)
+	c.Assert(restarted.known()["b/1/team"], qt.Equals, 50.0)
+	restarted.serve("team", 1, 7)
+	restarted.round(ctx)
 	c.Assert(b.known()["a/2/team"], qt.Equals, 7.0)
 }
 
--- a/transport/sidecar/execute.go
+++ b/transport/sidecar/execute.go
@@ -102,12 +102,12 @@
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			part := buf[:n]
-			a.meter.count(part)
-			last.write(part)
-			_, _ = sum.Write(part)
+			chunk := buf[:n]
+			a.meter.count(chunk)
+			last.write(chunk)
+			_, _ = sum.Write(chunk)
 			end.Length += int64(n)
-			if werr := a.response.write(ctx, part); werr != nil {
+			if werr := a.response.write(ctx, chunk); werr != nil {
 				err = werr
 			}
 		}
--- a/transport/sidecar/messages_fuzz_test.go
+++ b/transport/sidecar/messages_fuzz_test.go
@@ -95,7 +95,7 @@
 	})
 	go s.limits.run(ctx)
 	for range 1000 {
-		if serves(s) {
+		if mayStart(s) {
 			return s
 		}
 		time.Sleep(time.Millisecond)
--- a/transport/sidecar/metrics.go
+++ b/transport/sidecar/metrics.go
@@ -83,11 +83,11 @@
 	now := time.Now()
 	s.metrics.outcomes.Add(end.Outcome, 1)
 	s.metrics.run.Record(s.set.Service, now, now.Sub(start))
-	leveled := level.Info
+	withLevel := level.Info
 	if end.Outcome != string(outcome.Completed) {
-		leveled = level.Warn
+		withLevel = level.Warn
 	}
-	_ = leveled(s.log).Log("event", "run_ended", "request", a.start.Attempt.RequestId,
+	_ = withLevel(s.log).Log("event", "run_ended", "request", a.start.Attempt.RequestId,
 		"trace", observe.TraceID(ctx), "team", a.start.Team, "router", a.start.Router,
 		"attempt", a.start.Attempt.Number, "outcome", end.Outcome, "reason", end.Reason,
 		"cost", end.Cost, "us", end.BackendUs)
--- a/transport/sidecar/recent.go
+++ b/transport/sidecar/recent.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// maxRecentPrefixes is the number of prefixes listed in a pull.
+// maxRecentPrefixes is the maximum number of prefixes listed in a pull.
 const maxRecentPrefixes = 4
 
 // prefixHistory keeps the prompt prefixes that the backend server served most
@@ -14,9 +14,9 @@
 	if prefix == 0 {
 		return
 	}
-	kept := slices.DeleteFunc(r.prefixes, func(p uint64) bool { return p == prefix })
-	kept = slices.Insert(kept, 0, prefix)
-	r.prefixes = kept[:min(len(kept), maxRecentPrefixes)]
+	prefixes := slices.DeleteFunc(r.prefixes, func(p uint64) bool { return p == prefix })
+	prefixes = slices.Insert(prefixes, 0, prefix)
+	r.prefixes = prefixes[:min(len(prefixes), maxRecentPrefixes)]
 }
 
 // list returns a copy of the prefixes for a message.
--- a/transport/sidecar/slot_test.go
+++ b/transport/sidecar/slot_test.go
@@ -19,18 +19,18 @@
 // response to a write.
 type slotStore struct {
 	platform.Store
-	mu      sync.Mutex
-	entry   platform.Entry
-	lease   string
-	leases  map[string]time.Time
-	version uint64
-	down    bool
-	lost    int
+	mu            sync.Mutex
+	entry         platform.Entry
+	lease         string
+	leases        map[string]time.Time
+	version       uint64
+	unavailable   bool
+	lostResponses int
 }
 
 func newSlotStore() *slotStore { return &slotStore{leases: map[string]time.Time{}} }
 
-// enter locks the store, removes expired leases and fails if the store is down.
+// enter locks the store, removes expired leases and fails if the store is unavailable.
 func (s *slotStore) enter() error {
 	s.mu.Lock()
 	for id, until := range s.leases {
@@ -41,16 +41,16 @@
 	if _, ok := s.leases[s.lease]; !ok {
 		s.entry = platform.Entry{}
 	}
-	if s.down {
+	if s.unavailable {
 		return platform.ErrUnknown
 	}
 	return nil
 }
 
-func (s *slotStore) setDown(down bool) {
+func (s *slotStore) setUnavailable(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = down
+	s.unavailable = down
 }
 
 func (s *slotStore) Get(context.Context, string) (platform.Entry, error) {
@@ -73,8 +73,8 @@
 	}
 	s.version++
 	s.entry, s.lease = platform.Entry{Key: key, Value: value, Version: s.version}, lease
-	if s.lost > 0 {
-		s.lost--
+	if s.lostResponses > 0 {
+		s.lostResponses--
 		return 0, platform.ErrUnknown
 	}
 	return s.version, nil
@@ -123,7 +123,7 @@
 	return s
 }
 
-func serves(s *Sidecar) bool { return s.slot.mayStart(s.runs.Load()) }
+func mayStart(s *Sidecar) bool { return s.slot.mayStart(s.runs.Load()) }
 
 // bubble runs the test in a synctest bubble with a fake clock.
 func bubble(t *testing.T, test func(c *qt.C, ctx context.Context, store *slotStore)) {
@@ -143,14 +143,14 @@
 		second := startSlot(ctx, store, "10.0.0.2:1")
 		for range 300 {
 			time.Sleep(time.Second)
-			c.Assert(serves(first), qt.IsTrue)
-			c.Assert(serves(second), qt.IsFalse)
+			c.Assert(mayStart(first), qt.IsTrue)
+			c.Assert(mayStart(second), qt.IsFalse)
 		}
 		before := second.runs.Load().incarnation
 		fence := first.Fence()
 		kill()
 		time.Sleep(testTTL + 40*time.Second)
-		c.Assert(serves(second), qt.IsTrue)
+		c.Assert(mayStart(second), qt.IsTrue)
 		c.Assert(second.Fence() > fence, qt.IsTrue)
 		c.Assert(second.runs.Load().incarnation, qt.Not(qt.Equals), before)
 	})
@@ -166,7 +166,7 @@
 		kill()
 		second := startSlot(ctx, store, "10.0.0.1:1")
 		time.Sleep(time.Second)
-		c.Assert(serves(second), qt.IsTrue)
+		c.Assert(mayStart(second), qt.IsTrue)
 	})
 }
 
@@ -175,14 +175,14 @@
 		s := startSlot(ctx, store, "10.0.0.1:1")
 		time.Sleep(time.Second)
 		before := s.runs.Load()
-		store.setDown(true)
+		store.setUnavailable(true)
 		for range 600 {
 			time.Sleep(time.Second)
-			c.Assert(serves(s), qt.IsTrue)
+			c.Assert(mayStart(s), qt.IsTrue)
 		}
-		store.setDown(false)
+		store.setUnavailable(false)
 		time.Sleep(time.Minute)
-		c.Assert(serves(s), qt.IsTrue)
+		c.Assert(mayStart(s), qt.IsTrue)
 		c.Assert(s.runs.Load(), qt.Equals, before)
 		c.Assert(s.Fence() > 0, qt.IsTrue)
 	})
@@ -190,10 +190,10 @@
 
 func TestKeyIsReadBackAfterALostPutResponse(t *testing.T) {
 	bubble(t, func(c *qt.C, ctx context.Context, store *slotStore) {
-		store.lost = 1
+		store.lostResponses = 1
 		s := startSlot(ctx, store, "10.0.0.1:1")
 		time.Sleep(time.Second)
-		c.Assert(serves(s), qt.IsTrue)
+		c.Assert(mayStart(s), qt.IsTrue)
 		c.Assert(s.Fence(), qt.Equals, uint64(1))
 	})
 }
