--- a/transport/direct/changes.go
+++ b/transport/direct/changes.go
@@ -60,12 +60,12 @@
 }
 
 // errBehind means that the asked router has not reached the revision itself.
-var errBehind = errors.New("this router has not reached the revision")
+var errBehind = errors.New("the revision is not known here")
 
 // HandleRPC implements drpc.Handler: it answers other routers.
 func (r *Router) HandleRPC(stream drpc.Stream, rpc string) error {
 	if rpc != changesCall {
-		return errors.Newf("unknown RPC %s", rpc)
+		return errors.Newf("unknown call %s", rpc)
 	}
 	var want changesRequest
 	if err := stream.MsgRecv(&want, link.Records{}); err != nil {
--- a/transport/direct/crashes.go
+++ b/transport/direct/crashes.go
@@ -38,12 +38,12 @@
 	case c.answerBegun:
 		c.abortAnswer("quarantined")
 	case c.reached > 0:
-		c.fail(outcome.ReasonAnswerLost, http.StatusBadGateway, "the backend server crashed while it ran the request")
+		c.fail(outcome.ReasonAnswerLost, http.StatusBadGateway, "the backend server ended while it ran the request")
 	case verdict == quarantine.Wait:
-		c.refuse(*notRun(outcome.ReasonSuspect, suspectRetryAfter, "another attempt of this request is running, and backend servers crashed under earlier ones"))
+		c.refuse(*notRun(outcome.ReasonSuspect, suspectRetryAfter, "another attempt of this request is at work, and backend servers ended under earlier ones"))
 	default:
 		// A status that callers do not retry: a retry would end the same way.
-		c.refuse(outcome.Refuse(outcome.ReasonCrashes, http.StatusBadRequest, 0, "backend servers crashed under each earlier attempt of this request; it has not run this time"))
+		c.refuse(outcome.Refuse(outcome.ReasonCrashes, http.StatusBadRequest, 0, "backend servers ended under each earlier attempt of this request; it has not run this time"))
 	}
 	return true
 }
--- a/transport/direct/crashreport.go
+++ b/transport/direct/crashreport.go
@@ -109,6 +109,6 @@
 	r.handleQuarantineEvents()
 	r.mu.Unlock()
 	if !known {
-		http.Error(w, "no refused request has this content", http.StatusNotFound)
+		http.Error(w, "nothing is known of this content", http.StatusNotFound)
 	}
 }
--- a/transport/direct/dispatch.go
+++ b/transport/direct/dispatch.go
@@ -41,12 +41,12 @@
 	c.r.creditRetryBudget(c.service)
 	c.countDemand()
 	if c.r.isBlind() {
-		c.refuse(*notRun(outcome.ReasonPlatform, staleRetryAfter, "this router has too much work to know which backend servers are draining"))
+		c.refuse(*notRun(outcome.ReasonPlatform, staleRetryAfter, "this router has too much work to know which backend servers leave"))
 		return
 	}
 	if c.route.Kind == routing.Streaming {
 		if !c.r.load.acquireStream(c.team) {
-			c.refuse(*notRun(outcome.ReasonConnections, busyRetryAfter, "this router relays as many streams as it can"))
+			c.refuse(*notRun(outcome.ReasonConnections, busyRetryAfter, "this router passes on as many streams as it can"))
 			return
 		}
 		c.r.teams.Count(func(t *teamuse.Table) { t.Stream(c.team, 1) })
@@ -227,11 +227,11 @@
 	case c.reached == 0 && after == refused && c.left() <= 0:
 		c.refuse(*tooLate())
 	case c.reached == 0 && after == refused:
-		c.refuse(*notRun(outcome.ReasonNoBackend, c.retryAfter(), "no backend server accepted the request"))
+		c.refuse(*notRun(outcome.ReasonNoBackend, c.retryAfter(), "no backend server took the request"))
 	case ctx.Err() != nil && c.r.ending.Err() != nil:
 		c.fail(outcome.ReasonLeaving, http.StatusBadGateway, "this router stopped before the answer was whole")
 	case ctx.Err() != nil:
-		c.fail(outcome.ReasonDeadline, http.StatusGatewayTimeout, "the request's deadline passed while a backend server ran it")
+		c.fail(outcome.ReasonDeadline, http.StatusGatewayTimeout, "the time limit passed while a backend server was at work")
 	default:
 		c.fail(outcome.ReasonAnswerLost, http.StatusBadGateway, errText(err))
 	}
--- a/transport/direct/place.go
+++ b/transport/direct/place.go
@@ -42,11 +42,11 @@
 	case c.reached > 0:
 		c.fail(outcome.ReasonBackend, http.StatusBadGateway, "the answer was lost and no further server is free")
 	case d.Verdict == admission.Refuse && d.Cold:
-		c.refuse(*notRun(outcome.ReasonQueueFull, d.RetryAfter, "the backend servers are cold and receive as much as they can handle"))
+		c.refuse(*notRun(outcome.ReasonQueueFull, d.RetryAfter, "the backend servers are cold and get as much as they bear"))
 	case d.Verdict == admission.Refuse && d.Reason == admission.ReasonBackoff:
-		c.refuse(*notRun(outcome.ReasonBackoff, d.RetryAfter, "the backend servers requested a back-off until then"))
+		c.refuse(*notRun(outcome.ReasonBackoff, d.RetryAfter, "the backend servers asked for no requests until then"))
 	case d.Verdict == admission.Refuse:
-		c.refuse(*notRun(outcome.ReasonQueueFull, d.RetryAfter, "no backend server can start the request in time"))
+		c.refuse(*notRun(outcome.ReasonQueueFull, d.RetryAfter, "no backend server can begin in time"))
 	default:
 		c.refuse(*notRun(outcome.ReasonNoBackend, d.RetryAfter, "no backend server is known"))
 	}
--- a/transport/direct/ready.go
+++ b/transport/direct/ready.go
@@ -18,10 +18,10 @@
 		return errors.New("no configuration yet")
 	}
 	if r.load.outOfRotation.Load() {
-		return errors.New("the processor is saturated")
+		return errors.New("the processor has too much work")
 	}
 	if r.isFull() {
-		return errors.New("the maximum number of callers' connections is open")
+		return errors.New("every place for a connection is taken")
 	}
 	now := bootTime()
 	if cut := time.Duration(r.storeSilentSince.Load()); cut != 0 && now-cut > partitionedReadyTime {
@@ -32,7 +32,7 @@
 	bound := time.Duration(unreadyFreshnessShare * float64(r.cfg.Freshness))
 	r.mu.Unlock()
 	if !known || age > bound {
-		return errors.Newf("the configuration was last confirmed as current %v ago", age)
+		return errors.Newf("the configuration was last known to be the newest %v ago", age)
 	}
 	return nil
 }
--- a/transport/direct/serve.go
+++ b/transport/direct/serve.go
@@ -121,7 +121,7 @@
 
 // tooLate refuses a request whose caller waits no longer; nothing of it ran.
 func tooLate() *outcome.Outcome {
-	return notRun(outcome.ReasonDeadline, 0, "the request's deadline passed before it was sent to a backend server")
+	return notRun(outcome.ReasonDeadline, 0, "the time limit passed before the request was sent to a backend server")
 }
 
 // admit finds the route and the team, and reads the body.
@@ -191,7 +191,7 @@
 }
 
 func (c *call) refuseStale() *outcome.Outcome {
-	return notRun(outcome.ReasonPlatform, staleRetryAfter, "the configuration cannot be shown to be current")
+	return notRun(outcome.ReasonPlatform, staleRetryAfter, "the configuration cannot be shown to be the newest")
 }
 
 // timeLeft returns the maximum time that the caller may be kept waiting.
--- a/transport/sidecar/backend.go
+++ b/transport/sidecar/backend.go
@@ -31,7 +31,7 @@
 
 // errNotWritten marks a call of which no byte was written to the backend
 // server, which proves that the request did not run.
-var errNotWritten = errors.New("no byte of the request was written to the backend server")
+var errNotWritten = errors.New("nothing was written to the backend server")
 
 // Limits of the connections to the backend server.
 const (
--- a/transport/sidecar/execute.go
+++ b/transport/sidecar/execute.go
@@ -27,11 +27,11 @@
 	errCancelled = errors.New("run: cancelled by the router")
 	// errAbandoned means that no stream resumed the response within the grace
 	// period.
-	errAbandoned = errors.New("run: no router resumed the response")
+	errAbandoned = errors.New("run: no router came back for the answer")
 	// errStopped means that the time limit of the sidecar's shutdown has passed.
-	errStopped = errors.New("run: the sidecar is shutting down")
+	errStopped = errors.New("run: the sidecar stops")
 	// errRunDeadline means that the request's deadline has passed.
-	errRunDeadline = errors.New("run: deadline exceeded")
+	errRunDeadline = errors.New("run: the deadline passed")
 )
 
 // execute runs an attempt to completion, whether or not a stream is attached.
--- a/transport/sidecar/response_buffer.go
+++ b/transport/sidecar/response_buffer.go
@@ -12,9 +12,9 @@
 // Errors returned to a reader of a response buffer.
 var (
 	// errSuperseded means that another stream has attached to the response.
-	errSuperseded = errors.New("response: another stream has resumed it")
+	errSuperseded = errors.New("answer: another stream resumed it")
 	// errOffsetDropped means that the requested offset is no longer buffered.
-	errOffsetDropped = errors.New("response: offset is no longer buffered")
+	errOffsetDropped = errors.New("answer: offset not kept")
 )
 
 // responseBuffer holds the part of one attempt's response that the router may
--- a/transport/sidecar/run.go
+++ b/transport/sidecar/run.go
@@ -96,7 +96,7 @@
 	case attempts.Blocked, attempts.Declined:
 		return s.decline(stream, reasonBlocked)
 	default:
-		return errors.New("run: the attempt was offered before")
+		return errors.New("run: the attempt is known")
 	}
 }
 
@@ -123,7 +123,7 @@
 	}
 	if up.state() != upOpen {
 		s.withdraw(a)
-		return errors.New("run: the stream ended before the run started")
+		return errors.New("run: the stream ended before the start")
 	}
 	if !s.slot.mayStart(runs) {
 		s.withdraw(a)
@@ -176,7 +176,7 @@
 		}
 		chunk := up.GetBody().GetData()
 		if len(chunk) == 0 || int64(len(chunk)) > rest {
-			return nil, errors.New("run: body chunk is empty or exceeds the announced size")
+			return nil, errors.New("run: a body part has the wrong size")
 		}
 		body = append(body, chunk...)
 		rest -= int64(len(chunk))
@@ -192,7 +192,7 @@
 	}
 	a := runs.find(idOf(st.Attempt))
 	if a == nil {
-		return errors.New("resume: the response is no longer buffered")
+		return errors.New("resume: the answer is not kept")
 	}
 	a.response.ack(st.FromOffset)
 	return s.deliver(stream, readUpstream(stream, a), a, st.FromOffset)
