--- a/transport/operatorclient/client.go
+++ b/transport/operatorclient/client.go
@@ -1,7 +1,7 @@
-// Package operatorclient calls the operators' interface of the routers. It
-// tries one router after the other, since any can answer.
+// Package operatorclient is a client of the routers' operators' interface. It
+// tries the routers in order, since any of them can serve a call.
 //
-// goldcrestctl and tools use it.
+// goldcrestctl and other tools use it.
 package operatorclient
 
 import (
@@ -23,10 +23,10 @@
 	"goldcrestport/transport/revocable"
 )
 
-// maxAnswer bounds what is read of an answer, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds the size of a response body that is read.
+const maxResponseBytes = 64 << 20
 
-// ErrUnreachable means that no router answered.
+// ErrUnreachable means that no router gave a usable response.
 var ErrUnreachable = errors.New("no router answered")
 
 // ProblemError is a router's problem document.
@@ -47,9 +47,10 @@
 	http    *http.Client
 }
 
-// New returns a client of the routers' operators' addresses, "IP:port" or
-// URLs. The timeout bounds the call of one router; one that ends by it is taken back as far
-// as that can be done.
+// New returns a client of the routers at the given operators' addresses,
+// "IP:port" or URLs. The timeout applies to each call of one router; a call
+// that times out is revoked as far as possible, so that it isn't delivered
+// later.
 func New(routers []string, token string, timeout time.Duration) *Client {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.DialContext = func(ctx context.Context, _, address string) (net.Conn, error) {
@@ -65,53 +66,54 @@
 	return c
 }
 
-// Plan asks what the intent would change. The base may be nil.
+// Plan returns what the intent would change. The base may be nil.
 func (c *Client) Plan(ctx context.Context, intent json.RawMessage, base *uint64) (*operator.PlanResponse, error) {
 	var out operator.PlanResponse
-	return &out, c.any(ctx, http.MethodPost, operator.PathPlan, operator.PlanRequest{Intent: intent, BaseRevision: base}, &out)
+	return &out, c.callAny(ctx, http.MethodPost, operator.PathPlan, operator.PlanRequest{Intent: intent, BaseRevision: base}, &out)
 }
 
-// RollbackPlan asks for a plan that restores an older revision's content.
+// RollbackPlan returns a plan that restores an older revision's content.
 func (c *Client) RollbackPlan(ctx context.Context, revision uint64) (*operator.PlanResponse, error) {
 	var out operator.PlanResponse
-	return &out, c.any(ctx, http.MethodPost, operator.PathRollbackPlan, operator.RollbackRequest{Revision: revision}, &out)
+	return &out, c.callAny(ctx, http.MethodPost, operator.PathRollbackPlan, operator.RollbackRequest{Revision: revision}, &out)
 }
 
-// Confirm makes the plan the next revision. It is safe to repeat.
-func (c *Client) Confirm(ctx context.Context, ask operator.ConfirmRequest) (*operator.ConfirmResponse, error) {
+// Confirm makes the plan the next revision. It is idempotent.
+func (c *Client) Confirm(ctx context.Context, request operator.ConfirmRequest) (*operator.ConfirmResponse, error) {
 	var out operator.ConfirmResponse
-	return &out, c.any(ctx, http.MethodPost, operator.PathConfirm, ask, &out)
+	return &out, c.callAny(ctx, http.MethodPost, operator.PathConfirm, request, &out)
 }
 
-// Settle asks what became of a plan.
+// Settle looks up whether a plan was accepted.
 func (c *Client) Settle(ctx context.Context, base uint64, digest string) (*operator.SettleResponse, error) {
 	q := url.Values{"base": {strconv.FormatUint(base, 10)}, "digest": {digest}}
 	var out operator.SettleResponse
-	return &out, c.any(ctx, http.MethodGet, operator.PathSettle+"?"+q.Encode(), nil, &out)
+	return &out, c.callAny(ctx, http.MethodGet, operator.PathSettle+"?"+q.Encode(), nil, &out)
 }
 
 // Config returns the newest configuration.
 func (c *Client) Config(ctx context.Context) (*operator.ConfigResponse, error) {
 	var out operator.ConfigResponse
-	return &out, c.any(ctx, http.MethodGet, operator.PathConfig, nil, &out)
+	return &out, c.callAny(ctx, http.MethodGet, operator.PathConfig, nil, &out)
 }
 
 // History returns the last n revisions.
 func (c *Client) History(ctx context.Context, n int) (*operator.HistoryResponse, error) {
 	var out operator.HistoryResponse
-	return &out, c.any(ctx, http.MethodGet, operator.PathHistory+"?n="+strconv.Itoa(n), nil, &out)
+	return &out, c.callAny(ctx, http.MethodGet, operator.PathHistory+"?n="+strconv.Itoa(n), nil, &out)
 }
 
-// Status returns the fleet as the first router that answers sees it.
+// Status returns the state of the fleet as seen by the first router that
+// responds.
 func (c *Client) Status(ctx context.Context) (*operator.Status, error) {
 	var out operator.Status
-	return &out, c.any(ctx, http.MethodGet, operator.PathStatus, nil, &out)
+	return &out, c.callAny(ctx, http.MethodGet, operator.PathStatus, nil, &out)
 }
 
-// any tries the routers in turn until one gives a definite answer. An answer
-// that leaves the fate of a change open is kept over a later router's failure:
-// that router knows nothing of what the first one did.
-func (c *Client) any(ctx context.Context, method, path string, in, out any) error {
+// callAny tries the routers in order until one gives a definite answer. An
+// error with an unknown outcome takes precedence over a later router's failure:
+// the later router doesn't know whether the earlier one applied the change.
+func (c *Client) callAny(ctx context.Context, method, path string, in, out any) error {
 	var data []byte
 	if in != nil {
 		encoded, err := json.Marshal(in)
@@ -120,36 +122,36 @@
 		}
 		data = encoded
 	}
-	var kept error
+	var callErr error
 	for _, router := range c.routers {
-		err := c.one(ctx, router, method, path, data, out)
-		if err == nil || definite(err) {
+		err := c.callOne(ctx, router, method, path, data, out)
+		if err == nil || isDefinite(err) {
 			return err
 		}
-		if kept == nil || !open(kept) {
-			kept = err
+		if callErr == nil || !isOutcomeUnknown(callErr) {
+			callErr = err
 		}
 	}
-	if kept == nil {
+	if callErr == nil {
 		return errors.Mark(errors.New("no router is given"), ErrUnreachable)
 	}
-	return kept
+	return callErr
 }
 
-// definite reports whether another router would say the same.
-func definite(err error) bool {
+// isDefinite reports whether every router would return the same error.
+func isDefinite(err error) bool {
 	var p *ProblemError
 	return errors.As(err, &p) && p.Status != http.StatusServiceUnavailable
 }
 
-// open reports whether the error leaves the fate of a change open.
-func open(err error) bool {
+// isOutcomeUnknown reports whether the change may or may not have been applied.
+func isOutcomeUnknown(err error) bool {
 	var p *ProblemError
 	return errors.As(err, &p) && p.Outcome == outcome.Unknown
 }
 
-// one calls one router.
-func (c *Client) one(ctx context.Context, router, method, path string, body []byte, out any) error {
+// callOne sends the request to one router and decodes its response into out.
+func (c *Client) callOne(ctx context.Context, router, method, path string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, router+path, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "request")
@@ -165,7 +167,7 @@
 		return errors.Mark(err, ErrUnreachable)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return errors.Mark(err, ErrUnreachable)
 	}
@@ -175,7 +177,8 @@
 	return errors.Mark(errors.Wrap(json.Unmarshal(data, out), "answer of "+router), ErrUnreachable)
 }
 
-// problemOf reads a problem document; any other answer becomes one.
+// problemOf decodes a problem document. It builds one from the status if the
+// body is anything else.
 func problemOf(resp *http.Response, data []byte) error {
 	p := &ProblemError{}
 	if json.Unmarshal(data, &p.Problem) != nil || p.Reason == "" {
--- a/transport/operatorclient/held_test.go
+++ b/transport/operatorclient/held_test.go
@@ -15,9 +15,9 @@
 	"goldcrestport/standin/relay"
 )
 
-// Guards against a configuration that is confirmed after the operator's call has ended: the
-// path held the call, and the client closed the connection.
-func TestAConfirmThatTimedOutDoesNotArriveLater(t *testing.T) {
+// Guards against a configuration that is confirmed after the operator's call has timed out: the
+// network delays the request and delivers it after the client has closed the connection.
+func TestTimedOutConfirmIsNotDeliveredLater(t *testing.T) {
 	var confirmed atomic.Int64
 	router := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
