--- a/transport/observe/doc.go
+++ b/transport/observe/doc.go
@@ -1,6 +1,6 @@
-// Package observe sets up what a process shows of itself: logs, metrics,
-// traces and health.
+// Package observe sets up the observability of a process: logs, metrics, traces
+// and health checks.
 //
-// Routers, sidecars and cmd/goldcrestd call it. Every set-up belongs to one
-// process value, not to the program, so that tests may hold many.
+// Routers, sidecars and cmd/goldcrestd use it. Its state belongs to a process
+// value rather than to the program, so that a test can run several of them.
 package observe
--- a/transport/observe/health.go
+++ b/transport/observe/health.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Health tells whether a process lives and whether it takes new work.
+// Health serves the liveness, readiness and metrics endpoints of a process.
 type Health struct {
-	// Ready returns nil, or why no new work is taken.
+	// Ready returns nil, or the reason why no new work is accepted.
 	Ready func() error
-	// Vars are the metrics of the process; nil for those of package expvar
-	// only.
+	// Vars are the metrics of the process; nil serves those of package
+	// expvar only.
 	Vars *Vars
 }
 
-// Bounds of a connection to the operators' listener.
+// Limits of a connection to the operators' listener.
 const (
-	opsHeaderTimeout = 5 * time.Second
-	opsReadTimeout   = 30 * time.Second
-	opsIdleTimeout   = time.Minute
-	opsMaxHeaders    = 64 << 10
+	operatorHeaderTimeout  = 5 * time.Second
+	operatorReadTimeout    = 30 * time.Second
+	operatorIdleTimeout    = time.Minute
+	operatorMaxHeaderBytes = 64 << 10
 )
 
 // Server returns an HTTP server for the operators' listener.
 func Server(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: opsHeaderTimeout,
-		ReadTimeout:       opsReadTimeout,
-		IdleTimeout:       opsIdleTimeout,
-		MaxHeaderBytes:    opsMaxHeaders,
+		ReadHeaderTimeout: operatorHeaderTimeout,
+		ReadTimeout:       operatorReadTimeout,
+		IdleTimeout:       operatorIdleTimeout,
+		MaxHeaderBytes:    operatorMaxHeaderBytes,
 	}
 }
 
--- a/transport/observe/histogram.go
+++ b/transport/observe/histogram.go
@@ -7,61 +7,63 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Form of a histogram of times, in microseconds.
+// Range and precision of a duration histogram, in microseconds.
 const (
-	leastTime    = 1
-	greatestTime = int64(time.Hour / time.Microsecond)
-	digits       = 2
-	// windows are merged in a summary; the oldest is dropped at each turn.
-	windows    = 3
-	windowTime = 20 * time.Second
-	// maxSeries bounds the series of one metric; further names share one.
+	minMicros         = 1
+	maxMicros         = int64(time.Hour / time.Microsecond)
+	significantDigits = 2
+	// windows is the number of windows merged into a summary; each rotation
+	// drops the oldest.
+	windows      = 3
+	windowLength = 20 * time.Second
+	// maxSeries bounds the series of one metric; further names share
+	// otherSeries.
 	maxSeries   = 256
 	otherSeries = "other"
 )
 
 // Summary describes the recent values of a series, in microseconds.
 type Summary struct {
-	// Count of all values since the start.
+	// Count is the number of values since the process started.
 	Count int64 `json:"count"`
-	// P50, P95, P99 and Max of the values of the last minute.
+	// P50, P95, P99 and Max describe the values of the last minute.
 	P50 int64 `json:"p50"`
 	P95 int64 `json:"p95"`
 	P99 int64 `json:"p99"`
 	Max int64 `json:"max"`
 }
 
-// Times holds one histogram of times for each name, such as a service. It is
-// safe for concurrent use.
+// Times keeps a duration histogram for each name, such as a service. It is safe
+// for concurrent use.
 type Times struct {
 	mu     sync.RWMutex
 	series map[string]*series
 }
 
-// series is the histogram of one name.
+// series is the sliding-window histogram of one name.
 type series struct {
-	mu     sync.Mutex
-	recent *hdrhistogram.WindowedHistogram
-	turned time.Time
-	count  int64
+	mu        sync.Mutex
+	recent    *hdrhistogram.WindowedHistogram
+	rotatedAt time.Time
+	count     int64
 }
 
-// Times adds a histogram for each name to the metrics.
+// Times adds a metric with one duration histogram for each recorded name.
 func (v *Vars) Times(name string) *Times {
 	t := &Times{series: map[string]*series{}}
 	v.Func(name, func() any { return t.Summaries(time.Now()) })
 	return t
 }
 
-// Record adds a time to the histogram of the name.
+// Record adds a duration to the histogram of the name.
 func (t *Times) Record(name string, now time.Time, d time.Duration) {
 	s := t.find(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now)
+	s.rotate(now)
 	s.count++
-	value := min(max(d.Microseconds(), leastTime), greatestTime)
-	// The value lies within the histogram's range.
+	value := min(max(d.Microseconds(), minMicros), maxMicros)
+	// The value was clamped to the histogram's range, so this can't fail.
 	_ = s.recent.Current.RecordValue(value)
 }
 
@@ -89,27 +91,27 @@
 		name = otherSeries
 	}
 	if t.series[name] == nil {
-		t.series[name] = &series{recent: hdrhistogram.NewWindowed(windows, leastTime, greatestTime, digits)}
+		t.series[name] = &series{recent: hdrhistogram.NewWindowed(windows, minMicros, maxMicros, significantDigits)}
 	}
 	return t.series[name]
 }
 
-// turn drops the windows that are too old.
-func (s *series) turn(now time.Time) {
+// rotate drops the windows that have expired.
+func (s *series) rotate(now time.Time) {
 	for range windows {
-		if now.Sub(s.turned) < windowTime {
+		if now.Sub(s.rotatedAt) < windowLength {
 			return
 		}
 		s.recent.Rotate()
-		s.turned = s.turned.Add(windowTime)
+		s.rotatedAt = s.rotatedAt.Add(windowLength)
 	}
-	s.turned = now
+	s.rotatedAt = now
 }
 
 func (s *series) summary(now time.Time) Summary {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now)
+	s.rotate(now)
 	h := s.recent.Merge()
 	return Summary{
 		Count: s.count,
--- a/transport/observe/limit.go
+++ b/transport/observe/limit.go
@@ -6,44 +6,43 @@
 	"time"
 )
 
-// Bounds of a LineLimit.
+// Limits of a LineLimit.
 const (
-	// limitInterval is the time after which lines are counted anew.
+	// limitInterval is the time after which the line counts are reset.
 	limitInterval = time.Second
-	// limitBurst is the number of lines of one key in an interval.
+	// limitBurst is the number of lines allowed for one key in an interval.
 	limitBurst = 5
-	// limitKeys bounds the keys of an interval; lines of further keys are
-	// dropped.
+	// limitKeys bounds the number of keys in an interval; lines of further
+	// keys are dropped.
 	limitKeys = 1024
 )
 
-// LineLimit bounds log lines that say the same, such as refusals during
-// overload. It is safe for concurrent use.
+// LineLimit rate-limits repeated log lines, such as rejections during overload.
+// It is safe for concurrent use.
 type LineLimit struct {
-	mu      sync.Mutex
-	began   time.Time
-	lines   map[string]int
-	dropped map[string]int
-	total   *expvar.Int
-	burst   int
+	mu            sync.Mutex
+	intervalStart time.Time
+	lines         map[string]int
+	dropped       map[string]int
+	total         *expvar.Int
+	burst         int
 }
 
-// NewLineLimit returns a limit that adds each dropped line to total.
+// NewLineLimit returns a limit that increments total for each dropped line.
 func NewLineLimit(total *expvar.Int) *LineLimit { return NewLineLimitOf(total, limitBurst) }
 
-// NewLineLimitOf returns a limit of another number of lines of one key in an
-// interval of a second.
+// NewLineLimitOf returns a limit that allows burst lines of one key per second.
 func NewLineLimitOf(total *expvar.Int, burst int) *LineLimit {
 	return &LineLimit{lines: map[string]int{}, dropped: map[string]int{}, total: total, burst: burst}
 }
 
-// Allow reports whether a line with this key may be written, and how many
-// lines of the key were dropped in the interval before.
+// Allow reports whether a line with this key may be written, and how many lines
+// of the key were dropped in the previous interval.
 func (l *LineLimit) Allow(key string, now time.Time) (allowed bool, dropped int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.began) >= limitInterval {
-		l.turn(now)
+	if now.Sub(l.intervalStart) >= limitInterval {
+		l.startInterval(now)
 	}
 	n, known := l.lines[key]
 	if n >= l.burst || !known && len(l.lines) >= limitKeys {
@@ -59,9 +58,9 @@
 	return true, dropped
 }
 
-// turn begins a new interval.
-func (l *LineLimit) turn(now time.Time) {
-	l.began = now
+// startInterval resets the counts for a new interval.
+func (l *LineLimit) startInterval(now time.Time) {
+	l.intervalStart = now
 	clear(l.dropped)
 	for key, n := range l.lines {
 		if n > l.burst {
--- a/transport/observe/observe_test.go
+++ b/transport/observe/observe_test.go
@@ -73,7 +73,7 @@
 	for got, want := range map[int64]float64{s.P50: 500e3, s.P95: 950e3, s.P99: 990e3, s.Max: 1000e3} {
 		c.Check(float64(got) > 0.98*want && float64(got) < 1.02*want, quicktest.IsTrue, quicktest.Commentf("%d for %g", got, want))
 	}
-	// Old values leave the summary, not the count.
+	// Old values expire from the summary but still count.
 	times.Record("llm", now.Add(2*time.Minute), time.Millisecond)
 	s = times.Summaries(now.Add(2 * time.Minute))["llm"]
 	c.Check(s.Count, quicktest.Equals, int64(1001))
@@ -91,13 +91,13 @@
 	}
 }
 
-const caller = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-0"
+const callerTraceparent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-0"
 
-func TestTracerOffPassesTheContextOn(t *testing.T) {
+func TestDisabledTracerPropagatesContext(t *testing.T) {
 	c, tracer := quicktest.New(t), NoTracer()
-	ctx, span := tracer.Start(tracer.Enter(context.Background(), caller+"1"), "a", trace.SpanKindServer)
+	ctx, span := tracer.Start(tracer.Enter(context.Background(), callerTraceparent+"1"), "a", trace.SpanKindServer)
 	span.End()
-	c.Check(Traceparent(ctx), quicktest.Equals, caller+"1")
+	c.Check(Traceparent(ctx), quicktest.Equals, callerTraceparent+"1")
 	c.Check(TraceID(ctx), quicktest.Equals, "0af7651916cd43dd8448eb211c80319c")
 	fresh := tracer.Enter(context.Background(), "not a traceparent")
 	c.Check(Traceparent(fresh), quicktest.Matches, `00-[0-9a-f]{32}-[0-9a-f]{16}-00`)
@@ -109,13 +109,13 @@
 		fraction float64
 		parent   string
 		spans    int
-	}{{0, "", 0}, {1, "", 1}, {0, caller + "1", 1}, {1, caller + "0", 0}} {
-		c, kept := quicktest.New(t), tracetest.NewInMemoryExporter()
-		tracer := TracerTo(kept, "router", "r", tc.fraction)
+	}{{0, "", 0}, {1, "", 1}, {0, callerTraceparent + "1", 1}, {1, callerTraceparent + "0", 0}} {
+		c, exporter := quicktest.New(t), tracetest.NewInMemoryExporter()
+		tracer := TracerTo(exporter, "router", "r", tc.fraction)
 		_, span := tracer.Start(tracer.Enter(context.Background(), tc.parent), "a", trace.SpanKindServer)
 		span.End()
 		c.Assert(tracer.provider.ForceFlush(context.Background()), quicktest.IsNil)
-		c.Check(kept.GetSpans(), quicktest.HasLen, tc.spans, quicktest.Commentf("%+v", tc))
+		c.Check(exporter.GetSpans(), quicktest.HasLen, tc.spans, quicktest.Commentf("%+v", tc))
 		c.Check(tracer.Close(), quicktest.IsNil)
 	}
 }
--- a/transport/observe/trace.go
+++ b/transport/observe/trace.go
@@ -37,23 +37,23 @@
 // traceparent is the key of the W3C trace context.
 const traceparent = "traceparent"
 
-// otlpPath is the collector's path for traces.
+// otlpPath is the default URL path of the collector for traces.
 const otlpPath = "/v1/traces"
 
-// flushBound bounds the export of the last spans at the end of a process.
-const flushBound = 2 * time.Second
+// shutdownFlushTimeout bounds the export of pending spans at shutdown.
+const shutdownFlushTimeout = 2 * time.Second
 
-// w3c reads and writes the W3C trace context.
+// w3c encodes and decodes the W3C trace context.
 var w3c = propagation.TraceContext{}
 
-// Tracer makes the spans of one process.
+// Tracer creates the spans of one process.
 type Tracer struct {
 	tracer   trace.Tracer
 	provider *sdktrace.TracerProvider
 }
 
-// NewTracer returns a tracer whose spans go where the settings say. Spans for
-// "stdout" are written to w.
+// NewTracer returns a tracer with the exporter from the settings. The "stdout"
+// exporter writes to w.
 func NewTracer(w io.Writer, role, id string, set settings.Trace) (*Tracer, error) {
 	exporter, err := newExporter(w, set)
 	if err != nil || exporter == nil {
@@ -62,22 +62,22 @@
 	return TracerTo(exporter, role, id, set.Fraction), nil
 }
 
-// NoTracer returns a tracer that passes trace contexts on and records nothing.
+// NoTracer returns a tracer that propagates trace contexts and records nothing.
 func NoTracer() *Tracer {
 	return &Tracer{tracer: noop.NewTracerProvider().Tracer("")}
 }
 
-// TracerTo returns a tracer that samples the fraction of the requests whose
-// caller does not say, and hands spans to the exporter in batches from a
-// bounded queue. Spans that find the queue full are dropped.
+// TracerTo returns a tracer that exports spans in batches from a bounded queue
+// and drops spans while the queue is full. It follows the caller's sampling
+// decision; requests without one are sampled at the given fraction.
 func TracerTo(exporter sdktrace.SpanExporter, role, id string, fraction float64) *Tracer {
-	about := resource.NewSchemaless(
+	processResource := resource.NewSchemaless(
 		attribute.String("service.name", "goldcrestport-"+role),
 		attribute.String("service.instance.id", id),
 	)
 	provider := sdktrace.NewTracerProvider(
 		sdktrace.WithBatcher(exporter),
-		sdktrace.WithResource(about),
+		sdktrace.WithResource(processResource),
 		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(fraction))),
 	)
 	return &Tracer{tracer: provider.Tracer("goldcrestport"), provider: provider}
@@ -101,8 +101,8 @@
 	}
 }
 
-// LogTraceErrors sends the errors of all exporters of this program to the
-// logger, a few of a kind each second.
+// LogTraceErrors logs the errors of all exporters of this program, rate-limited
+// to a few lines per second.
 func LogTraceErrors(logger log.Logger) {
 	lines := NewLineLimit(new(expvar.Int))
 	otel.SetErrorHandler(otel.ErrorHandlerFunc(func(err error) {
@@ -113,8 +113,8 @@
 }
 
 // Enter continues the trace of a W3C traceparent from another process. A
-// request without one gets a trace id of its own, so that its log lines can
-// be joined while nothing is recorded.
+// request without one gets a new trace id, so that its log lines can be
+// correlated even if no spans are recorded.
 func (t *Tracer) Enter(ctx context.Context, parent string) context.Context {
 	if parent != "" {
 		ctx = w3c.Extract(ctx, propagation.MapCarrier{traceparent: parent})
@@ -122,15 +122,15 @@
 	if t.provider != nil || trace.SpanContextFromContext(ctx).IsValid() {
 		return ctx
 	}
-	var fresh trace.SpanContextConfig
-	binary.LittleEndian.PutUint64(fresh.TraceID[:], rand.Uint64())
-	binary.LittleEndian.PutUint64(fresh.TraceID[8:], rand.Uint64())
-	// An id must not be zero.
-	binary.LittleEndian.PutUint64(fresh.SpanID[:], rand.Uint64()|1)
-	return trace.ContextWithSpanContext(ctx, trace.NewSpanContext(fresh))
+	var generated trace.SpanContextConfig
+	binary.LittleEndian.PutUint64(generated.TraceID[:], rand.Uint64())
+	binary.LittleEndian.PutUint64(generated.TraceID[8:], rand.Uint64())
+	// A span id must not be zero.
+	binary.LittleEndian.PutUint64(generated.SpanID[:], rand.Uint64()|1)
+	return trace.ContextWithSpanContext(ctx, trace.NewSpanContext(generated))
 }
 
-// Start begins a span. It must be ended.
+// Start starts a span. The caller must end it.
 func (t *Tracer) Start(ctx context.Context, name string, kind trace.SpanKind, attrs ...attribute.KeyValue) (context.Context, trace.Span) {
 	if t.provider == nil {
 		return ctx, noop.Span{}
@@ -146,24 +146,24 @@
 	return t.provider.ForceFlush(ctx)
 }
 
-// Close exports what is left, within a bound.
+// Close exports the pending spans, for shutdownFlushTimeout at most.
 func (t *Tracer) Close() error {
 	if t.provider == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), flushBound)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownFlushTimeout)
 	defer cancel()
 	return t.provider.Shutdown(ctx)
 }
 
-// Traceparent returns the W3C trace context to pass on.
+// Traceparent returns the W3C traceparent to propagate.
 func Traceparent(ctx context.Context) string {
 	carrier := propagation.MapCarrier{}
 	w3c.Inject(ctx, carrier)
 	return carrier[traceparent]
 }
 
-// TraceID returns the trace's id for log lines, empty if there is none.
+// TraceID returns the trace id for log lines, empty if there is none.
 func TraceID(ctx context.Context) string {
 	sc := trace.SpanContextFromContext(ctx)
 	if !sc.HasTraceID() {
--- a/transport/observe/vars.go
+++ b/transport/observe/vars.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// Vars holds the metrics of one process and serves them with those that
-// package expvar publishes itself.
+// Vars is the metrics registry of one process. It serves them together with the
+// variables that package expvar publishes.
 type Vars struct {
-	all *expvar.Map
+	metrics *expvar.Map
 }
 
-// NewVars returns the metrics that every process has.
+// NewVars returns a registry with the metrics common to all processes.
 func NewVars() *Vars {
-	v := &Vars{all: new(expvar.Map).Init()}
+	v := &Vars{metrics: new(expvar.Map).Init()}
 	v.Func("process_goroutines", func() any { return runtime.NumGoroutine() })
 	v.Func("process_cpu_us", func() any { return cpuTime().Microseconds() })
 	return v
@@ -32,24 +32,25 @@
 // Int adds a counter or gauge.
 func (v *Vars) Int(name string) *expvar.Int {
 	i := new(expvar.Int)
-	v.all.Set(name, i)
+	v.metrics.Set(name, i)
 	return i
 }
 
 // Map adds a set of counters.
 func (v *Vars) Map(name string) *expvar.Map {
 	m := new(expvar.Map).Init()
-	v.all.Set(name, m)
+	v.metrics.Set(name, m)
 	return m
 }
 
-// Func adds a value that is read when it is asked for. It must encode as JSON.
-func (v *Vars) Func(name string, read func() any) { v.all.Set(name, expvar.Func(read)) }
+// Func adds a metric that is computed on each read. Its value must be encodable
+// as JSON.
+func (v *Vars) Func(name string, read func() any) { v.metrics.Set(name, expvar.Func(read)) }
 
 // Names returns the names of all metrics of the process, sorted.
 func (v *Vars) Names() []string {
 	var out []string
-	v.all.Do(func(kv expvar.KeyValue) { out = append(out, kv.Key) })
+	v.metrics.Do(func(kv expvar.KeyValue) { out = append(out, kv.Key) })
 	return out
 }
 
@@ -62,26 +63,26 @@
 		separator = ",\n"
 	}
 	expvar.Do(write)
-	v.all.Do(write)
+	v.metrics.Do(write)
 	b.WriteString("\n}\n")
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	_, _ = w.Write(b.Bytes())
 }
 
-// cpuTime returns the processor time that this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
-	var use syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &use) != nil {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	return time.Duration(use.Utime.Nano() + use.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// ServeText writes the numbers among the metrics as text, one "name value" or
-// "name{key} value" a line, as scrapers read it.
+// ServeText writes the numeric metrics in the text format of scrapers, one
+// "name value" or "name{key} value" per line.
 func (v *Vars) ServeText(w http.ResponseWriter, _ *http.Request) {
 	var b bytes.Buffer
-	v.all.Do(func(kv expvar.KeyValue) { writeText(&b, kv) })
+	v.metrics.Do(func(kv expvar.KeyValue) { writeText(&b, kv) })
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	_, _ = w.Write(b.Bytes())
 }
@@ -94,7 +95,8 @@
 	writeNumbers(b, kv.Key, "", value)
 }
 
-// writeNumbers writes a number, or those of a map with their keys as a label.
+// writeNumbers writes a number, or the numbers of a map with their key path as a
+// label.
 func writeNumbers(b *bytes.Buffer, name, label string, value any) {
 	switch value := value.(type) {
 	case float64:
--- a/transport/observe/writer.go
+++ b/transport/observe/writer.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// lineRing bounds the lines that wait for a slow reader.
-const lineRing = 1024
+// queueCapacity bounds the lines queued for a slow writer.
+const queueCapacity = 1024
 
-// Writer passes lines on to a slower writer and never blocks: when the reader
-// of the log stalls, lines are dropped and counted.
+// Writer queues lines for a slower writer and never blocks: when the reader of
+// the log stalls, lines are dropped and counted.
 type Writer struct {
 	lines   chan []byte
 	dropped expvar.Int
-	// waiting counts the lines that were taken and not written yet.
-	waiting atomic.Int64
-	// hurry ends the gathering of lines.
-	hurry chan struct{}
+	// pending counts the lines that were accepted and not written yet.
+	pending atomic.Int64
+	// flushRequested ends the batching delay early.
+	flushRequested chan struct{}
 }
 
-// NewWriter returns a writer in front of w.
+// NewWriter returns a non-blocking writer that forwards lines to w.
 func NewWriter(w io.Writer) *Writer {
-	out := &Writer{lines: make(chan []byte, lineRing), hurry: make(chan struct{}, 1)}
+	out := &Writer{lines: make(chan []byte, queueCapacity), flushRequested: make(chan struct{}, 1)}
 	go out.run(w)
 	return out
 }
 
-// Write takes one line. It always succeeds.
+// Write queues one line, or drops it if the queue is full. It always succeeds.
 func (w *Writer) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
-	w.waiting.Add(1)
+	queued := append([]byte(nil), line...)
+	w.pending.Add(1)
 	select {
-	case w.lines <- kept:
+	case w.lines <- queued:
 	default:
-		w.waiting.Add(-1)
+		w.pending.Add(-1)
 		w.dropped.Add(1)
 	}
 	return len(line), nil
@@ -44,60 +44,61 @@
 // Dropped returns the number of lines that were dropped.
 func (w *Writer) Dropped() int64 { return w.dropped.Value() }
 
-// flushStep is the time between two looks at what waits.
-const flushStep = time.Millisecond
+// flushPollInterval is the interval at which Flush checks for pending lines.
+const flushPollInterval = time.Millisecond
 
-// Flush waits until the lines taken so far are written, for the bound at most.
-// It reports whether they are.
+// Flush waits until the pending lines are written, for the bound at most. It
+// reports whether they were.
 func (w *Writer) Flush(bound time.Duration) bool {
-	for end := time.Now().Add(bound); w.waiting.Load() > 0; time.Sleep(flushStep) {
+	for end := time.Now().Add(bound); w.pending.Load() > 0; time.Sleep(flushPollInterval) {
 		if time.Now().After(end) {
 			return false
 		}
 		select {
-		case w.hurry <- struct{}{}:
+		case w.flushRequested <- struct{}{}:
 		default:
 		}
 	}
 	return true
 }
 
-// gatherLines is how long lines are gathered before they go out in one write: on
-// small instances a wake-up and a write for each would cost more than the line.
-const gatherLines = 100 * time.Millisecond
+// batchDelay is how long lines are collected before they are written together: on
+// small instances, a wake-up and a write per line would cost more than the line.
+const batchDelay = 100 * time.Millisecond
 
-// writeBytes bounds the lines that go out in one write.
-const writeBytes = 64 << 10
+// maxBatchBytes is the size at which a batch of lines is written.
+const maxBatchBytes = 64 << 10
 
 func (w *Writer) run(to io.Writer) {
 	for line := range w.lines {
-		w.gather()
-		taken := int64(1)
+		w.waitForBatch()
+		batched := int64(1)
 		for more := true; more; {
 			select {
 			case next := <-w.lines:
 				line = append(line, next...)
-				taken++
-				more = len(line) < writeBytes
+				batched++
+				more = len(line) < maxBatchBytes
 			default:
 				more = false
 			}
 		}
-		// There is nobody to tell when the log itself fails.
+		// A failure of the log itself can't be logged.
 		_, _ = to.Write(line)
-		w.waiting.Add(-taken)
+		w.pending.Add(-batched)
 	}
 }
 
-// gather waits for further lines, unless half of the ring is full.
-func (w *Writer) gather() {
-	if len(w.lines) > lineRing/2 {
+// waitForBatch waits for further lines, unless the queue is more than half
+// full.
+func (w *Writer) waitForBatch() {
+	if len(w.lines) > queueCapacity/2 {
 		return
 	}
-	timer := time.NewTimer(gatherLines)
+	timer := time.NewTimer(batchDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-w.hurry:
+	case <-w.flushRequested:
 	}
 }
--- a/transport/observe/writer_test.go
+++ b/transport/observe/writer_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// slowWriter takes its time for each write.
+// slowWriter delays each write.
 type slowWriter struct {
 	mu   sync.Mutex
 	data bytes.Buffer
@@ -24,9 +24,9 @@
 	return s.data.Write(line)
 }
 
-// What a process says last, such as why it ended a request at its stop, is
-// written before it ends.
-func TestTheLastLinesAreWritten(t *testing.T) {
+// Guards against losing the last log lines of a process, such as why it ended a
+// request at shutdown: lines are written in the background.
+func TestFlushWritesPendingLines(t *testing.T) {
 	to := &slowWriter{}
 	w := NewWriter(to)
 	for i := range 20 {
@@ -38,7 +38,7 @@
 	qt.Check(t, to.data.String(), qt.Contains, "line 19\n")
 }
 
-// A reader that stalls holds the end of the process up for the bound only.
+// Guards against a stalled log reader that delays shutdown beyond the bound.
 func TestFlushIsBounded(t *testing.T) {
 	stalled := make(chan struct{})
 	defer close(stalled)
@@ -47,9 +47,9 @@
 		return len(line), nil
 	}))
 	_, _ = w.Write([]byte("line\n"))
-	began := time.Now()
+	start := time.Now()
 	qt.Check(t, w.Flush(30*time.Millisecond), qt.IsFalse)
-	qt.Check(t, time.Since(began) < time.Second, qt.IsTrue)
+	qt.Check(t, time.Since(start) < time.Second, qt.IsTrue)
 }
 
 type writerFunc func([]byte) (int, error)
