--- a/transport/operators/history.go
+++ b/transport/operators/history.go
@@ -10,9 +10,9 @@
 	"goldcrestport/state/config"
 )
 
-// maxWalk bounds the entries that one call reads, so that one operator can't
-// spend the platform's reads.
-const maxWalk = 1000
+// maxHistoryReads bounds the history entries that one call reads, so that one
+// operator can't use up the platform's read quota.
+const maxHistoryReads = 1000
 
 // entryOf returns the public record of a revision.
 func entryOf(d *config.Document) operator.Entry {
@@ -24,11 +24,11 @@
 }
 
 // Walk calls visit with the history entry of each revision below the head,
-// from the newest to oldest. Entries stand for all but the oldest ones,
-// because a revision is overwritten only after its entry is written.
+// from newest to oldest. Only the oldest entries can be missing, because a
+// revision is overwritten only after its entry is written.
 func (l *Ledger) Walk(ctx context.Context, head *config.Document, oldest uint64, visit func(*config.Document)) error {
-	if head.Revision > oldest && head.Revision-oldest > maxWalk {
-		return errors.Wrapf(ErrForgotten, "revision %d is more than %d revisions back", oldest, maxWalk)
+	if head.Revision > oldest && head.Revision-oldest > maxHistoryReads {
+		return errors.Wrapf(ErrForgotten, "revision %d is more than %d revisions back", oldest, maxHistoryReads)
 	}
 	for revision := head.Revision; revision > max(oldest, 1); {
 		revision--
@@ -49,22 +49,22 @@
 	if revision == 0 || revision > head.Revision {
 		return nil, errors.Wrapf(ErrForgotten, "there is no revision %d", revision)
 	}
-	content, back, whole := head.Content(), head.Back, true
+	content, reverse, complete := head.Content(), head.Back, true
 	err := l.Walk(ctx, head, revision, func(entry *config.Document) {
-		if back == nil {
-			whole = false
+		if reverse == nil {
+			complete = false
 			return
 		}
-		content, back = back.Apply(content), entry.Back
+		content, reverse = reverse.Apply(content), entry.Back
 	})
-	if err == nil && !whole {
+	if err == nil && !complete {
 		err = errors.Wrapf(ErrForgotten, "revision %d: a later one doesn't lead back", revision)
 	}
 	return content, err
 }
 
-// Since returns the revisions from the newest down to the oldest wanted, as
-// far as the history goes.
+// Since returns the revisions from the newest down to oldest, as far as the
+// history reaches back.
 func (l *Ledger) Since(ctx context.Context, head *config.Document, oldest uint64) ([]operator.Entry, error) {
 	if head == nil {
 		return nil, nil
@@ -77,7 +77,7 @@
 	return out, err
 }
 
-// Settle looks up the fate of a plan without changing anything.
+// Settle looks up whether a plan was accepted, without changing anything.
 func (l *Ledger) Settle(ctx context.Context, base uint64, digest string) confirm.Done {
 	return l.Run(ctx, confirm.Proposal{Base: base, Digest: digest})
 }
--- a/transport/operators/ledger.go
+++ b/transport/operators/ledger.go
@@ -1,8 +1,9 @@
 // Package operators serves the operators' HTTP interface of a router: plan,
 // confirm, settle, history, rollback, configuration and status.
 //
-// The router mounts it on its operators' listener. What a plan does is decided
-// in coordination/plan, how it becomes a revision in coordination/confirm.
+// The router mounts it on its operators' listener. Package coordination/plan
+// computes the changes of a plan, coordination/confirm is the protocol by which
+// a plan becomes a revision.
 package operators
 
 import (
@@ -19,39 +20,39 @@
 	"goldcrestport/transport/spread"
 )
 
-// Keys on the platform.
+// Keys in the platform's key-value store.
 const (
-	// HeadKey holds the newest revision. Its compare-and-swap is the only
-	// thing that decides what is accepted.
+	// HeadKey is the key of the newest revision. A plan is accepted only by a
+	// compare-and-swap of this key.
 	HeadKey = spread.ConfigKey
-	// historyPrefix starts the keys of the history entries. It lies outside
-	// of HeadKey's prefix, so that watches of the head don't see them.
+	// historyPrefix is the prefix of the keys of history entries. It differs
+	// from HeadKey's prefix, so that watches of the head don't receive them.
 	historyPrefix = "goldcrest/history/"
 )
 
-// HistorySlots is the number of history keys. Revision r has its entry under
-// the key r modulo HistorySlots, so that the history needs no deletions and is
-// bounded: at 9,800 changes a day it reaches back a day.
+// HistorySlots is the number of history keys. The entry of revision r is stored
+// under the key r modulo HistorySlots, so that the history is bounded without
+// deletions: at 9,800 changes a day it reaches back a day.
 const HistorySlots = 10_000
 
-// Bounds of one confirmation.
+// Limits of one confirmation.
 const (
-	confirmAttempts = 40
-	pauseAfter      = 50 * time.Millisecond
+	maxConfirmAttempts = 40
+	retryPause         = 50 * time.Millisecond
 )
 
-// ErrForgotten means that the history doesn't reach back to a revision.
+// ErrForgotten means that the history no longer contains a revision.
 var ErrForgotten = errors.New("beyond the history")
 
-// Ledger keeps the line of accepted revisions on the platform. It is safe for
-// concurrent use; it holds no state of its own.
+// Ledger stores the sequence of accepted revisions on the platform. It is
+// stateless and safe for concurrent use.
 type Ledger struct {
 	store platform.Store
-	// pause waits between attempts; tests replace it.
+	// pause waits between attempts. Tests replace it.
 	pause func(context.Context, time.Duration)
 }
 
-// NewLedger returns a ledger on the store.
+// NewLedger returns a ledger backed by the store.
 func NewLedger(store platform.Store) *Ledger {
 	return &Ledger{store: store, pause: sleep}
 }
@@ -68,7 +69,7 @@
 	return fmt.Sprintf("%s%05d", historyPrefix, revision%HistorySlots)
 }
 
-// read returns the document under the key with its version, nil and 0 if there
+// read returns the document under the key and its version, or nil and 0 if there
 // is none.
 func (l *Ledger) read(ctx context.Context, key string) (*config.Document, uint64, error) {
 	e, err := l.store.Get(ctx, key)
@@ -88,9 +89,10 @@
 	return d, err
 }
 
-// Run brings the proposal to its result. It ends when the context ends.
+// Run executes the confirmation protocol for the proposal and returns the
+// result. It stops when the context ends.
 func (l *Ledger) Run(ctx context.Context, p confirm.Proposal) confirm.Done {
-	p.Attempts = confirmAttempts
+	p.Attempts = maxConfirmAttempts
 	s := confirm.New(p)
 	action := s.Step(confirm.Started{})
 	for {
@@ -101,11 +103,11 @@
 	}
 }
 
-// perform does one action and returns its event.
+// perform executes one action of the protocol and returns the resulting event.
 func (l *Ledger) perform(ctx context.Context, action confirm.Action) confirm.Event {
 	switch a := action.(type) {
 	case confirm.ReadHead:
-		if !l.waited(ctx, a.Pause) {
+		if !l.pauseUnlessExpired(ctx, a.Pause) {
 			return confirm.Expired{}
 		}
 		d, version, err := l.read(ctx, HeadKey)
@@ -114,7 +116,7 @@
 		}
 		return confirm.HeadRead{Head: d, Version: version}
 	case confirm.ReadEntry:
-		if !l.waited(ctx, a.Pause) {
+		if !l.pauseUnlessExpired(ctx, a.Pause) {
 			return confirm.Expired{}
 		}
 		d, version, err := l.read(ctx, historyKey(a.Revision))
@@ -131,10 +133,11 @@
 	}
 }
 
-// waited pauses if asked to and reports whether time is left.
-func (l *Ledger) waited(ctx context.Context, pause bool) bool {
+// pauseUnlessExpired waits if pause is set and reports whether the context is
+// still active.
+func (l *Ledger) pauseUnlessExpired(ctx context.Context, pause bool) bool {
 	if pause {
-		l.pause(ctx, pauseAfter)
+		l.pause(ctx, retryPause)
 	}
 	return ctx.Err() == nil
 }
--- a/transport/operators/plans.go
+++ b/transport/operators/plans.go
@@ -16,15 +16,15 @@
 	"goldcrestport/state/config"
 )
 
-// plan answers what an intent would change. Nothing changes.
+// plan returns what an intent would change. It changes nothing.
 func (s *Server) plan(req *http.Request, _ string) (any, error) {
-	var ask operator.PlanRequest
-	if err := readJSON(req, &ask); err != nil {
+	var request operator.PlanRequest
+	if err := readJSON(req, &request); err != nil {
 		return nil, err
 	}
-	in, err := intent.Parse(ask.Intent)
+	in, err := intent.Parse(request.Intent)
 	if err != nil {
-		return nil, badIntent(err)
+		return nil, intentProblem(err)
 	}
 	ctx, cancel := context.WithTimeout(req.Context(), callTimeout)
 	defer cancel()
@@ -32,32 +32,33 @@
 	if err != nil {
 		return nil, err
 	}
-	if ask.BaseRevision != nil && *ask.BaseRevision != base.Revision {
-		return nil, s.stale(ctx, *ask.BaseRevision, base)
+	if request.BaseRevision != nil && *request.BaseRevision != base.Revision {
+		return nil, s.staleProblem(ctx, *request.BaseRevision, base)
 	}
 	return s.planFor(ctx, base, in)
 }
 
-// planFor compares and checks that the result can be stored.
+// planFor computes the changes from base to the intent and checks that the
+// result can be stored.
 func (s *Server) planFor(ctx context.Context, base *config.Document, in *intent.Intent) (any, error) {
 	next := in.Document()
 	p, err := plan.Compare(base, next, s.router.Facts(ctx, changedTeams(base, next)))
 	if err != nil {
 		return nil, err
 	}
-	back := config.Between(next, base)
-	next.Back = &back
+	reverse := config.Between(next, base)
+	next.Back = &reverse
 	if _, err := document.Encode(next); err != nil {
-		return nil, failure(http.StatusUnprocessableEntity, operator.ReasonConfigLarge, err.Error())
+		return nil, newProblem(http.StatusUnprocessableEntity, operator.ReasonConfigLarge, err.Error())
 	}
 	return operator.PlanResponse{Plan: p, Intent: intent.FromDocument(next)}, nil
 }
 
-// maxFactTeams bounds the teams whose waiting work is asked for.
+// maxFactTeams bounds the teams whose queued work is requested from the routers.
 const maxFactTeams = 200
 
-// changedTeams returns the names of the teams that stand in both documents or
-// in the base only, and change.
+// changedTeams returns the sorted names of the teams of base that next changes or
+// removes, maxFactTeams at most.
 func changedTeams(base, next *config.Document) []string {
 	var out []string
 	for name := range config.Between(base, next).Teams {
@@ -69,11 +70,11 @@
 	return out[:min(len(out), maxFactTeams)]
 }
 
-// base returns the newest revision, an empty document if there is none.
+// base returns the newest revision, or an empty document if there is none.
 func (s *Server) base(ctx context.Context) (*config.Document, error) {
 	head, err := s.ledger.Head(ctx)
 	if err != nil {
-		return nil, unreachable(err)
+		return nil, platformUnreachable(err)
 	}
 	if head == nil {
 		return &config.Document{}, nil
@@ -81,10 +82,11 @@
 	return head, nil
 }
 
-// rollbackPlan plans a newer revision with the content of an older one.
+// rollbackPlan returns a plan for a new revision with the content of an older
+// one.
 func (s *Server) rollbackPlan(req *http.Request, _ string) (any, error) {
-	var ask operator.RollbackRequest
-	if err := readJSON(req, &ask); err != nil {
+	var request operator.RollbackRequest
+	if err := readJSON(req, &request); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(req.Context(), callTimeout)
@@ -93,31 +95,32 @@
 	if err != nil {
 		return nil, err
 	}
-	old, err := s.ledger.At(ctx, base, ask.Revision)
+	old, err := s.ledger.At(ctx, base, request.Revision)
 	if errors.Is(err, ErrForgotten) {
-		return nil, failure(http.StatusNotFound, operator.ReasonForgotten, err.Error())
+		return nil, newProblem(http.StatusNotFound, operator.ReasonForgotten, err.Error())
 	}
 	if err != nil {
-		return nil, unreachable(err)
+		return nil, platformUnreachable(err)
 	}
-	// An older revision is checked as any other intent.
-	text, err := json.Marshal(intent.FromDocument(old))
+	// An older revision is validated like any other intent.
+	encoded, err := json.Marshal(intent.FromDocument(old))
 	if err != nil {
 		return nil, err
 	}
-	in, err := intent.Parse(text)
+	in, err := intent.Parse(encoded)
 	if err != nil {
-		return nil, badIntent(err)
+		return nil, intentProblem(err)
 	}
 	return s.planFor(ctx, base, in)
 }
 
-// maxMeanwhile bounds the revisions that a stale plan is answered with.
-const maxMeanwhile = 20
+// maxNewerRevisions bounds the revisions listed in the response to a stale plan.
+const maxNewerRevisions = 20
 
-// stale names what was accepted since the base.
-func (s *Server) stale(ctx context.Context, base uint64, head *config.Document) error {
-	p := failure(http.StatusConflict, operator.ReasonStalePlan, "the configuration changed since the plan was made; plan again")
+// staleProblem returns a problem that lists the revisions accepted since the
+// base.
+func (s *Server) staleProblem(ctx context.Context, base uint64, head *config.Document) error {
+	p := newProblem(http.StatusConflict, operator.ReasonStalePlan, "the configuration changed since the plan was made; plan again")
 	if head == nil {
 		return p
 	}
@@ -127,18 +130,19 @@
 		return p
 	}
 	oldest := base + 1
-	if head.Revision-base > maxMeanwhile {
-		oldest = head.Revision - maxMeanwhile + 1
+	if head.Revision-base > maxNewerRevisions {
+		oldest = head.Revision - maxNewerRevisions + 1
 	}
-	meanwhile, err := s.ledger.Since(ctx, head, oldest)
+	newer, err := s.ledger.Since(ctx, head, oldest)
 	if err != nil {
 		p.Detail += " (what changed can't be read now)"
 	}
-	p.Meanwhile = meanwhile
+	p.Meanwhile = newer
 	return p
 }
 
-// config answers the newest configuration.
+// config returns the newest configuration, or the one in force at this router if
+// the platform can't be read.
 func (s *Server) config(req *http.Request, _ string) (any, error) {
 	ctx, cancel := context.WithTimeout(req.Context(), callTimeout)
 	defer cancel()
@@ -153,13 +157,13 @@
 		head = inForce
 	}
 	if head == nil {
-		return nil, failure(http.StatusNotFound, outcome.ReasonNoConfig, "no configuration has been confirmed yet")
+		return nil, newProblem(http.StatusNotFound, outcome.ReasonNoConfig, "no configuration has been confirmed yet")
 	}
 	answer.Entry, answer.Intent = entryOf(head), intent.FromDocument(head)
 	return answer, nil
 }
 
-// status answers the fleet as the router sees it.
+// status returns the state of the fleet as seen by this router.
 func (s *Server) status(req *http.Request, _ string) (any, error) {
 	return s.router.Status(req.Context()), nil
 }
--- a/transport/operators/problem.go
+++ b/transport/operators/problem.go
@@ -12,14 +12,14 @@
 	"goldcrestport/protocol/outcome"
 )
 
-// problem is an error that is answered as a problem document.
+// problem is an error that is sent as a problem document.
 type problem struct{ operator.Problem }
 
 // Error implements error.
 func (p *problem) Error() string { return string(p.Reason) + ": " + p.Detail }
 
-// failure returns a problem after which nothing was changed.
-func failure(status int, reason outcome.Reason, detail string) *problem {
+// newProblem returns a problem for a call that changed nothing.
+func newProblem(status int, reason outcome.Reason, detail string) *problem {
 	p := &problem{}
 	p.Type = "urn:goldcrestport:problem:" + string(reason)
 	p.Title = http.StatusText(status)
@@ -33,31 +33,31 @@
 	return p
 }
 
-// unreachable tells that the platform could not be read.
-func unreachable(err error) *problem {
-	return failure(http.StatusServiceUnavailable, outcome.ReasonPlatform,
+// platformUnreachable returns a problem for a failed read of the platform.
+func platformUnreachable(err error) *problem {
+	return newProblem(http.StatusServiceUnavailable, outcome.ReasonPlatform,
 		"the platform's key-value service can't be read now, nothing was changed: "+err.Error())
 }
 
-// badIntent carries all errors of an intent.
-func badIntent(err error) error {
-	var found intent.Errors
-	if !errors.As(err, &found) {
+// intentProblem returns a problem with all validation errors of an intent.
+func intentProblem(err error) error {
+	var intentErrors intent.Errors
+	if !errors.As(err, &intentErrors) {
 		return err
 	}
-	p := failure(http.StatusUnprocessableEntity, operator.ReasonBadIntent,
-		strconv.Itoa(len(found))+" errors in the intent")
-	p.Errors = found
+	p := newProblem(http.StatusUnprocessableEntity, operator.ReasonBadIntent,
+		strconv.Itoa(len(intentErrors))+" errors in the intent")
+	p.Errors = intentErrors
 	return p
 }
 
-// asProblem turns any error into a problem.
+// asProblem converts any error into a problem.
 func asProblem(err error) *problem {
 	var p *problem
 	if errors.As(err, &p) {
 		return p
 	}
-	return failure(http.StatusInternalServerError, outcome.ReasonInternal, err.Error())
+	return newProblem(http.StatusInternalServerError, outcome.ReasonInternal, err.Error())
 }
 
 func writeProblem(w http.ResponseWriter, p *problem) {
@@ -71,6 +71,6 @@
 		h.Set("WWW-Authenticate", "Bearer")
 	}
 	w.WriteHeader(p.Status)
-	// The operator may be gone; there is nobody else to tell.
+	// A write error means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(p.Problem)
 }
--- a/transport/operators/race_test.go
+++ b/transport/operators/race_test.go
@@ -20,23 +20,23 @@
 	"goldcrestport/transport/platform"
 )
 
-// cutAfterHeadWrite takes the platform away once the head was written.
-type cutAfterHeadWrite struct {
+// failAfterHeadWrite makes the platform unreachable once the head was written.
+type failAfterHeadWrite struct {
 	*store
-	cut bool
+	failed bool
 }
 
-func (s *cutAfterHeadWrite) Get(ctx context.Context, key string) (platform.Entry, error) {
-	if s.cut {
+func (s *failAfterHeadWrite) Get(ctx context.Context, key string) (platform.Entry, error) {
+	if s.failed {
 		return platform.Entry{}, platform.ErrUnknown
 	}
 	return s.store.Get(ctx, key)
 }
 
-func (s *cutAfterHeadWrite) Put(ctx context.Context, key string, value []byte, version uint64, lease string) (uint64, error) {
+func (s *failAfterHeadWrite) Put(ctx context.Context, key string, value []byte, version uint64, lease string) (uint64, error) {
 	v, err := s.store.Put(ctx, key, value, version, lease)
 	if key == HeadKey {
-		s.cut = true
+		s.failed = true
 		return 0, platform.ErrUnknown
 	}
 	return v, err
@@ -49,7 +49,7 @@
 	digest string
 }
 
-// result is what an operation told its caller.
+// result is the outcome that an operation returned to its caller.
 type result int
 
 const (
@@ -65,12 +65,12 @@
 	digest   string
 }
 
-// lineModel is the specification: accepted configurations form one line. The
-// state is the digests of the revisions, in order.
-var lineModel = porcupine.NondeterministicModel{
+// revisionModel is the specification: accepted configurations form one linear
+// sequence. The state is the digests of the revisions, in order.
+var revisionModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, in, out any) []any {
-		return stepLine(state.(string), in.(input), out.(output))
+		return stepRevisions(state.(string), in.(input), out.(output))
 	},
 	Equal: func(a, b any) bool { return a == b },
 	DescribeOperation: func(in, out any) string {
@@ -78,11 +78,11 @@
 	},
 }
 
-func stepLine(state string, in input, out output) []any {
-	line := strings.Split(state, ",")[1:]
-	last := uint64(len(line))
+func stepRevisions(state string, in input, out output) []any {
+	revisions := strings.Split(state, ",")[1:]
+	last := uint64(len(revisions))
 	if in.digest == "" {
-		if out.revision == last && (last == 0 || line[last-1] == out.digest) {
+		if out.revision == last && (last == 0 || revisions[last-1] == out.digest) {
 			return []any{state}
 		}
 		return nil
@@ -97,11 +97,11 @@
 		if last == in.base {
 			return []any{extended}
 		}
-		if followed && line[in.base] == in.digest {
+		if followed && revisions[in.base] == in.digest {
 			return []any{state}
 		}
 	case stale:
-		if followed && line[in.base] != in.digest {
+		if followed && revisions[in.base] != in.digest {
 			return []any{state}
 		}
 	case unchanged:
@@ -135,7 +135,7 @@
 	r.ops = append(r.ops, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: end})
 }
 
-// race is one run of racing operators.
+// race is one run of concurrent operators.
 type race struct {
 	recorder
 	store *store
@@ -143,9 +143,9 @@
 	rng   []*rand.Rand
 }
 
-// confirmOnce plans at one router and confirms at another, giving up early now
-// and then as an operator whose connection breaks does. It reports whether the
-// plan was accepted.
+// confirmOnce plans at one router and confirms at another. It cancels some calls
+// early, like an operator whose connection breaks, and repeats some. It reports
+// whether the plan was accepted.
 func (r *race) confirmOnce(client int, share float64) bool {
 	rng := r.rng[client]
 	p, code := r.nodes[rng.IntN(len(r.nodes))].plan(opsToken, intentWith(share))
@@ -158,7 +158,7 @@
 		ctx, cancel = context.WithTimeout(context.Background(), time.Duration(rng.IntN(10_000))*time.Microsecond)
 	}
 	defer cancel()
-	won := false
+	ok := false
 	for range 1 + rng.IntN(2) {
 		in := input{base: p.Plan.BaseRevision, digest: p.Plan.Digest}
 		call := r.now()
@@ -166,11 +166,11 @@
 			operator.ConfirmResponse
 			Outcome string `json:"outcome"`
 		}
-		code := r.nodes[rng.IntN(len(r.nodes))].call(ctx, opsToken, http.MethodPost, operator.PathConfirm, confirmOf(p), &answer)
+		code := r.nodes[rng.IntN(len(r.nodes))].call(ctx, opsToken, http.MethodPost, operator.PathConfirm, confirmRequestFor(p), &answer)
 		r.add(client, in, outputOf(code, answer.Outcome, answer.Revision), call)
-		won = won || code == http.StatusOK
+		ok = ok || code == http.StatusOK
 	}
-	return won
+	return ok
 }
 
 func outputOf(code int, kind string, revision uint64) output {
@@ -196,7 +196,7 @@
 	}
 }
 
-// outages takes the platform away now and then until stop closes.
+// outages makes the platform unreachable periodically until stop is closed.
 func (r *race) outages(f faults, stop <-chan struct{}) {
 	for down := false; ; down = !down {
 		r.store.set(f, down)
@@ -215,69 +215,69 @@
 const (
 	raceOperators = 8
 	raceRouters   = 4
-	// raceTries bounds how often each operator plans.
-	raceTries = 1000
+	// raceAttempts bounds the plans that each operator makes.
+	raceAttempts = 1000
 )
 
-func TestRacingOperatorsMakeOneLine(t *testing.T) {
-	// Each operator gets so many plans accepted: 200 in the long run.
-	for seed, each := range []int{25, 5, 5} {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runRace(t, uint64(seed), each) })
+func TestConcurrentConfirmationsAreLinearizable(t *testing.T) {
+	// Number of accepted plans per operator; the total of the longest run is 200.
+	for seed, plansPerOperator := range []int{25, 5, 5} {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runRace(t, uint64(seed), plansPerOperator) })
 	}
 }
 
-func runRace(t *testing.T, seed uint64, each int) {
+func runRace(t *testing.T, seed uint64, plansPerOperator int) {
 	c := qt.New(t)
 	r := &race{recorder: recorder{t0: time.Now()}, store: newStore(seed)}
 	for range raceRouters {
 		r.nodes = append(r.nodes, newNode(r.store))
 	}
-	first := start(c, r.nodes[0])
+	first := confirmFirst(c, r.nodes[0])
 	for _, n := range r.nodes {
 		n.Adopt(r.nodes[0].InForce())
 	}
 	r.add(raceOperators, input{digest: first.Plan.Digest}, output{revision: 1}, 0)
 	stop := make(chan struct{})
-	var faulty, working sync.WaitGroup
-	faulty.Go(func() { r.outages(faults{lostBefore: 0.05, lostAfter: 0.15, late: 0.1, busy: 0.05}, stop) })
+	var outageLoop, operators sync.WaitGroup
+	outageLoop.Go(func() { r.outages(faults{lostBefore: 0.05, lostAfter: 0.15, late: 0.1, busy: 0.05}, stop) })
 	for client := range raceOperators {
 		r.rng = append(r.rng, rand.New(rand.NewPCG(seed, uint64(client))))
 	}
 	for client := range raceOperators {
-		working.Go(func() {
-			for i, won := 0, 0; won < each && i < raceTries; i++ {
-				if r.confirmOnce(client, float64(10+client*raceTries+i)) {
-					won++
+		operators.Go(func() {
+			for i, acceptedPlans := 0, 0; acceptedPlans < plansPerOperator && i < raceAttempts; i++ {
+				if r.confirmOnce(client, float64(10+client*raceAttempts+i)) {
+					acceptedPlans++
 				}
 				r.readOnce(client)
 			}
 		})
 	}
-	working.Wait()
+	operators.Wait()
 	close(stop)
-	faulty.Wait()
+	outageLoop.Wait()
 	r.store.applying.Wait()
 	r.store.set(faults{}, false)
 	r.check(c)
 }
 
-// check proves the history against the model and the kept history against
-// what operators were told.
+// check verifies the operations against the model, and the stored history against
+// the results returned to operators.
 func (r *race) check(c *qt.C) {
-	verdict := porcupine.CheckOperationsTimeout(lineModel.ToModel(), r.ops, 30*time.Second)
+	verdict := porcupine.CheckOperationsTimeout(revisionModel.ToModel(), r.ops, 30*time.Second)
 	c.Check(verdict, qt.Equals, porcupine.Ok)
 	counts := map[result]int{}
-	told := map[uint64]string{}
-	asked := map[string]bool{}
+	reported := map[uint64]string{}
+	requested := map[string]bool{}
 	for _, op := range r.ops {
 		in, out := op.Input.(input), op.Output.(output)
 		if in.digest == "" {
 			continue
 		}
 		counts[out.result]++
-		asked[in.digest] = true
+		requested[in.digest] = true
 		if out.result == accepted {
-			told[out.revision] = in.digest
+			reported[out.revision] = in.digest
 		}
 	}
 	ledger := NewLedger(r.store)
@@ -291,9 +291,9 @@
 	slices.Reverse(entries)
 	for i, e := range entries {
 		c.Assert(e.Revision, qt.Equals, uint64(i+1))
-		c.Assert(asked[e.Digest], qt.IsTrue, qt.Commentf("revision %d was never asked for", e.Revision))
-		if digest, ok := told[e.Revision]; ok {
-			c.Assert(e.Digest, qt.Equals, digest, qt.Commentf("revision %d isn't what its operator was told", e.Revision))
+		c.Assert(requested[e.Digest], qt.IsTrue, qt.Commentf("revision %d was never requested", e.Revision))
+		if digest, ok := reported[e.Revision]; ok {
+			c.Assert(e.Digest, qt.Equals, digest, qt.Commentf("revision %d isn't the one returned to its operator", e.Revision))
 		}
 		content, err := ledger.At(context.Background(), head, e.Revision)
 		c.Assert(err, qt.IsNil)
--- a/transport/operators/server.go
+++ b/transport/operators/server.go
@@ -18,34 +18,34 @@
 	"goldcrestport/transport/platform"
 )
 
-// Bounds of the interface.
+// Limits of the interface.
 const (
-	// maxBody bounds a request in bytes; the largest intent is a few megabytes
-	// of JSON.
+	// maxBody bounds a request body in bytes; the largest intent is a few
+	// megabytes of JSON.
 	maxBody = 16 << 20
-	// maxChanges and maxReads bound the calls served at once. A plan of the
-	// largest fleet takes tens of megabytes while it is worked out, and the
-	// process has 256 MB for all it does.
+	// maxChanges and maxReads bound the concurrent calls. Computing a plan for
+	// the largest fleet takes tens of megabytes, and the process has 256 MB in
+	// total.
 	maxChanges = 3
 	maxReads   = 16
-	// slotWait bounds the wait for a call to be served.
+	// slotWait bounds the time that a call waits for a free slot.
 	slotWait = 2 * time.Second
-	// callTimeout bounds the platform's part of one call.
+	// callTimeout bounds the platform operations of one call.
 	callTimeout = 5 * time.Second
-	// retryAfter is the hint with a problem that may pass.
+	// retryAfter is the retry hint sent with a transient problem.
 	retryAfter = time.Second
 )
 
-// Router is what the interface needs of the router that serves it.
+// Router is the router that serves the interface.
 type Router interface {
-	// InForce returns the configuration in force, nil for none.
+	// InForce returns the configuration in force, nil if there is none.
 	InForce() *config.Document
 	// Adopt puts a newer configuration in force at this router.
 	Adopt(*config.Document)
-	// Facts returns what is known of the running fleet, with the waiting work
-	// of the teams at all routers.
+	// Facts returns the known state of the running fleet, including the queued
+	// work of the teams at all routers.
 	Facts(ctx context.Context, teams []string) plan.Facts
-	// Status returns the fleet as the router sees it.
+	// Status returns the state of the fleet as seen by the router.
 	Status(ctx context.Context) operator.Status
 }
 
@@ -59,8 +59,8 @@
 	reads     chan struct{}
 }
 
-// New returns a server. The bootstrap digest is of the token that may confirm
-// the first configuration; empty allows none.
+// New returns a server. The bootstrap argument is the digest of the token that
+// may confirm the first configuration; an empty one disables bootstrapping.
 func New(store platform.Store, router Router, bootstrap string, logger log.Logger) *Server {
 	return &Server{
 		ledger:    NewLedger(store),
@@ -85,14 +85,16 @@
 	get(operator.PathStatus, s.status)
 }
 
-// handler answers one call with a value, or with an error that is a *problem.
-type handler func(req *http.Request, who string) (any, error)
+// handler serves one call. It returns the response body or an error, preferably a
+// *problem; any other error is sent as an internal one.
+type handler func(req *http.Request, operatorName string) (any, error)
 
-// guard bounds and authenticates the call and writes the answer.
+// guard authenticates the call, limits concurrency and body size, and writes the
+// response.
 func (s *Server) guard(slots chan struct{}, h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
-		// Nothing of the body is read before the token is known to be good.
-		who, err := s.authenticate(req)
+		// The body is not read before the token has been verified.
+		operatorName, err := s.authenticate(req)
 		if err != nil {
 			writeProblem(w, asProblem(err))
 			return
@@ -101,41 +103,42 @@
 		case slots <- struct{}{}:
 			defer func() { <-slots }()
 		case <-time.After(slotWait):
-			writeProblem(w, failure(http.StatusServiceUnavailable, operator.ReasonBusy, "too many operators' calls at once"))
+			writeProblem(w, newProblem(http.StatusServiceUnavailable, operator.ReasonBusy, "too many operators' calls at once"))
 			return
 		}
 		req.Body = http.MaxBytesReader(w, req.Body, maxBody)
-		answer, err := h(req, who)
+		answer, err := h(req, operatorName)
 		if err != nil {
 			writeProblem(w, asProblem(err))
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		// The operator may be gone; there is nobody else to tell.
+		// A write error means that the client has disconnected.
 		_ = json.NewEncoder(w).Encode(answer)
 	}
 }
 
-// bootstrapName is recorded as the operator of the first configuration. No
+// bootstrapName is the operator name recorded for the bootstrap token. No
 // configured operator can have this name.
 const bootstrapName = "(bootstrap)"
 
-// authenticate returns the operator's name. The bootstrap token counts only
-// while this router has no configuration; a confirmation checks it against the
-// platform too.
+// authenticate returns the operator's name. The bootstrap token is accepted for
+// all calls only while there is no configuration, and afterwards for confirm and
+// settle only, which restrict it to base revision 0; a confirmation is also
+// checked against the platform.
 func (s *Server) authenticate(req *http.Request) (string, error) {
 	token, ok := strings.CutPrefix(req.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
-		return "", failure(http.StatusUnauthorized, operator.ReasonUnauthorized, "a bearer token is needed")
+		return "", newProblem(http.StatusUnauthorized, operator.ReasonUnauthorized, "a bearer token is needed")
 	}
 	digest := config.TokenDigest(token)
 	head := s.router.InForce()
 	if head == nil {
-		read, err := s.ledger.Head(req.Context())
+		newest, err := s.ledger.Head(req.Context())
 		if err != nil {
-			return "", unreachable(err)
+			return "", platformUnreachable(err)
 		}
-		head = read
+		head = newest
 	}
 	if head != nil {
 		if name, known := head.OperatorOf(digest); known {
@@ -145,17 +148,18 @@
 	if s.isBootstrap(digest) && (head == nil || req.URL.Path == operator.PathConfirm || req.URL.Path == operator.PathSettle) {
 		return bootstrapName, nil
 	}
-	return "", failure(http.StatusUnauthorized, operator.ReasonUnauthorized, "no operator has this bearer token")
+	return "", newProblem(http.StatusUnauthorized, operator.ReasonUnauthorized, "no operator has this bearer token")
 }
 
-// isBootstrap reports whether the digest is of the bootstrap token. Such an
-// operator may confirm and settle plans against no revision, whenever: once a
-// configuration stands this can only repeat what became of the first plan.
+// isBootstrap reports whether the digest is that of the bootstrap token. Its
+// holder may confirm and settle plans with base revision 0 at any time: once a
+// configuration exists, this can only return the result of the first plan.
 func (s *Server) isBootstrap(digest string) bool {
 	return s.bootstrap != "" && digest == s.bootstrap
 }
 
-// readJSON reads the request's body strictly.
+// readJSON decodes the request body and rejects unknown fields and trailing
+// data.
 func readJSON(req *http.Request, into any) error {
 	dec := json.NewDecoder(req.Body)
 	dec.DisallowUnknownFields()
@@ -168,10 +172,10 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &large):
-		return failure(http.StatusRequestEntityTooLarge, outcome.ReasonTooLarge, "the body is too large")
+		return newProblem(http.StatusRequestEntityTooLarge, outcome.ReasonTooLarge, "the body is too large")
 	case errors.Is(err, io.EOF):
-		return failure(http.StatusBadRequest, outcome.ReasonBadRequest, "the body is empty")
+		return newProblem(http.StatusBadRequest, outcome.ReasonBadRequest, "the body is empty")
 	default:
-		return failure(http.StatusBadRequest, outcome.ReasonBadRequest, err.Error())
+		return newProblem(http.StatusBadRequest, outcome.ReasonBadRequest, err.Error())
 	}
 }
--- a/transport/operators/server_test.go
+++ b/transport/operators/server_test.go
@@ -20,18 +20,18 @@
 	"goldcrestport/state/config"
 )
 
-// routerFake is a router that holds a configuration and nothing else.
-type routerFake struct {
+// fakeRouter is a router that only stores a configuration.
+type fakeRouter struct {
 	doc   atomic.Pointer[config.Document]
 	facts plan.Facts
 }
 
-func (r *routerFake) InForce() *config.Document                  { return r.doc.Load() }
-func (r *routerFake) Facts(context.Context, []string) plan.Facts { return r.facts }
-func (r *routerFake) Status(context.Context) operator.Status {
+func (r *fakeRouter) InForce() *config.Document                  { return r.doc.Load() }
+func (r *fakeRouter) Facts(context.Context, []string) plan.Facts { return r.facts }
+func (r *fakeRouter) Status(context.Context) operator.Status {
 	return operator.Status{Router: "r"}
 }
-func (r *routerFake) Adopt(d *config.Document) {
+func (r *fakeRouter) Adopt(d *config.Document) {
 	for old := r.doc.Load(); old == nil || old.Revision < d.Revision; old = r.doc.Load() {
 		if r.doc.CompareAndSwap(old, d) {
 			return
@@ -39,9 +39,9 @@
 	}
 }
 
-// node is one router's interface on a shared store.
+// node is the operators' interface of one router on a shared store.
 type node struct {
-	*routerFake
+	*fakeRouter
 	mux *http.ServeMux
 }
 
@@ -51,14 +51,14 @@
 )
 
 func newNode(s *store) *node {
-	n := &node{routerFake: &routerFake{}, mux: http.NewServeMux()}
-	srv := New(s, n.routerFake, config.TokenDigest(bootstrapToken), log.NewNopLogger())
+	n := &node{fakeRouter: &fakeRouter{}, mux: http.NewServeMux()}
+	srv := New(s, n.fakeRouter, config.TokenDigest(bootstrapToken), log.NewNopLogger())
 	srv.ledger.pause = func(ctx context.Context, _ time.Duration) { sleep(ctx, 200*time.Microsecond) }
 	srv.Mount(n.mux)
 	return n
 }
 
-// call makes one call and decodes the answer; it returns the status.
+// call makes one call, decodes the response and returns the status.
 func (n *node) call(ctx context.Context, token, method, path string, in, out any) int {
 	var body bytes.Buffer
 	if in != nil {
@@ -84,27 +84,27 @@
 	}
 }
 
-func text(in *intent.Intent) json.RawMessage {
+func encodeIntent(in *intent.Intent) json.RawMessage {
 	data, _ := json.Marshal(in)
 	return data
 }
 
 func (n *node) plan(token string, in *intent.Intent) (operator.PlanResponse, int) {
 	var p operator.PlanResponse
-	code := n.call(context.Background(), token, http.MethodPost, operator.PathPlan, operator.PlanRequest{Intent: text(in)}, &p)
+	code := n.call(context.Background(), token, http.MethodPost, operator.PathPlan, operator.PlanRequest{Intent: encodeIntent(in)}, &p)
 	return p, code
 }
 
-func confirmOf(p operator.PlanResponse) operator.ConfirmRequest {
-	return operator.ConfirmRequest{Intent: text(p.Intent), BaseRevision: p.Plan.BaseRevision, Digest: p.Plan.Digest}
+func confirmRequestFor(p operator.PlanResponse) operator.ConfirmRequest {
+	return operator.ConfirmRequest{Intent: encodeIntent(p.Intent), BaseRevision: p.Plan.BaseRevision, Digest: p.Plan.Digest}
 }
 
 func (n *node) confirm(token string, p operator.PlanResponse, out any) int {
-	return n.call(context.Background(), token, http.MethodPost, operator.PathConfirm, confirmOf(p), out)
+	return n.call(context.Background(), token, http.MethodPost, operator.PathConfirm, confirmRequestFor(p), out)
 }
 
-// start confirms the first configuration.
-func start(c *qt.C, n *node) operator.PlanResponse {
+// confirmFirst confirms the first configuration.
+func confirmFirst(c *qt.C, n *node) operator.PlanResponse {
 	p, code := n.plan(bootstrapToken, intentWith(1))
 	c.Assert(code, qt.Equals, http.StatusOK)
 	var done operator.ConfirmResponse
@@ -120,9 +120,10 @@
 	var p operator.Problem
 	c.Assert(n.call(context.Background(), "guess", http.MethodGet, operator.PathConfig, nil, &p), qt.Equals, http.StatusUnauthorized)
 	c.Assert(n.call(context.Background(), bootstrapToken, http.MethodGet, operator.PathConfig, nil, &p), qt.Equals, http.StatusNotFound)
-	first := start(c, n)
-	// The first confirmation repeats like any other, but the token opens
-	// nothing else from now on, also at a router that has no configuration.
+	first := confirmFirst(c, n)
+	// The first confirmation can be repeated like any other, but the token is
+	// rejected for everything else from now on, also at a router without a
+	// configuration.
 	var done operator.ConfirmResponse
 	c.Assert(newNode(s).confirm(bootstrapToken, first, &done), qt.Equals, http.StatusOK)
 	c.Assert(done.Already, qt.IsTrue)
@@ -137,10 +138,10 @@
 	}
 }
 
-func TestPlanChangesNothingAndAnyRouterConfirmsIt(t *testing.T) {
+func TestPlanIsReadOnlyAndAnyRouterConfirmsIt(t *testing.T) {
 	c := qt.New(t)
 	s := newStore(1)
-	start(c, newNode(s))
+	confirmFirst(c, newNode(s))
 	before := s.version
 	p, code := newNode(s).plan(opsToken, intentWith(3))
 	c.Assert(code, qt.Equals, http.StatusOK)
@@ -157,18 +158,18 @@
 	}
 }
 
-func TestStalePlanNamesWhatChanged(t *testing.T) {
+func TestStalePlanListsNewerRevisions(t *testing.T) {
 	c := qt.New(t)
 	s := newStore(1)
 	n := newNode(s)
-	start(c, n)
-	mine, _ := n.plan(opsToken, intentWith(3))
-	theirs, _ := n.plan(opsToken, intentWith(5))
-	c.Assert(n.confirm(opsToken, theirs, &operator.ConfirmResponse{}), qt.Equals, http.StatusOK)
-	theirs, _ = n.plan(opsToken, intentWith(7))
-	c.Assert(n.confirm(opsToken, theirs, &operator.ConfirmResponse{}), qt.Equals, http.StatusOK)
+	confirmFirst(c, n)
+	stalePlan, _ := n.plan(opsToken, intentWith(3))
+	newerPlan, _ := n.plan(opsToken, intentWith(5))
+	c.Assert(n.confirm(opsToken, newerPlan, &operator.ConfirmResponse{}), qt.Equals, http.StatusOK)
+	newerPlan, _ = n.plan(opsToken, intentWith(7))
+	c.Assert(n.confirm(opsToken, newerPlan, &operator.ConfirmResponse{}), qt.Equals, http.StatusOK)
 	var p operator.Problem
-	c.Assert(n.confirm(opsToken, mine, &p), qt.Equals, http.StatusConflict)
+	c.Assert(n.confirm(opsToken, stalePlan, &p), qt.Equals, http.StatusConflict)
 	c.Assert(p.Reason, qt.Equals, operator.ReasonStalePlan)
 	c.Assert(p.Newest, qt.Equals, uint64(3))
 	c.Assert(p.Meanwhile, qt.HasLen, 2)
@@ -176,23 +177,23 @@
 	c.Assert(p.Meanwhile[1].Summary, qt.Equals, "teams ~a 1->5")
 	c.Assert(p.Meanwhile[0].By, qt.Equals, "ops")
 	base := uint64(1)
-	ask := operator.PlanRequest{Intent: text(intentWith(3)), BaseRevision: &base}
-	c.Assert(n.call(context.Background(), opsToken, http.MethodPost, operator.PathPlan, ask, &p), qt.Equals, http.StatusConflict)
+	request := operator.PlanRequest{Intent: encodeIntent(intentWith(3)), BaseRevision: &base}
+	c.Assert(n.call(context.Background(), opsToken, http.MethodPost, operator.PathPlan, request, &p), qt.Equals, http.StatusConflict)
 }
 
-func TestRollbackIsAPlanToAHigherRevision(t *testing.T) {
+func TestRollbackCreatesNewRevision(t *testing.T) {
 	c := qt.New(t)
 	n := newNode(newStore(1))
-	start(c, n)
+	confirmFirst(c, n)
 	for _, share := range []float64{2, 3, 4} {
 		p, _ := n.plan(opsToken, intentWith(share))
 		c.Assert(n.confirm(opsToken, p, &operator.ConfirmResponse{}), qt.Equals, http.StatusOK)
 	}
 	var p operator.PlanResponse
-	ask := func(revision uint64, out any) int {
+	planRollback := func(revision uint64, out any) int {
 		return n.call(context.Background(), opsToken, http.MethodPost, operator.PathRollbackPlan, operator.RollbackRequest{Revision: revision}, out)
 	}
-	c.Assert(ask(2, &p), qt.Equals, http.StatusOK)
+	c.Assert(planRollback(2, &p), qt.Equals, http.StatusOK)
 	c.Assert(p.Intent.Teams["a"].Share, qt.Equals, 2.0)
 	c.Assert(p.Plan.BaseRevision, qt.Equals, uint64(4))
 	c.Assert(n.confirm(opsToken, p, &operator.ConfirmResponse{}), qt.Equals, http.StatusOK)
@@ -204,17 +205,17 @@
 		summaries = append(summaries, e.Summary)
 	}
 	c.Assert(summaries, qt.DeepEquals, []string{"teams ~a 4->2", "teams ~a 3->4", "teams ~a 2->3", "teams ~a 1->2"})
-	c.Assert(ask(9, &operator.Problem{}), qt.Equals, http.StatusNotFound)
+	c.Assert(planRollback(9, &operator.Problem{}), qt.Equals, http.StatusNotFound)
 }
 
-func TestRefusals(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	c := qt.New(t)
 	s := newStore(1)
 	n := newNode(s)
-	start(c, n)
+	confirmFirst(c, n)
 	p, _ := n.plan(opsToken, intentWith(3))
-	forged := confirmOf(p)
-	forged.Intent = text(intentWith(4))
+	forged := confirmRequestFor(p)
+	forged.Intent = encodeIntent(intentWith(4))
 	tests := []struct {
 		name, method, path string
 		body               any
@@ -238,42 +239,42 @@
 	}
 }
 
-func TestRemovedOperatorCannotConfirmAtARouterThatLags(t *testing.T) {
+func TestRemovedOperatorCannotConfirmAtLaggingRouter(t *testing.T) {
 	c := qt.New(t)
 	s := newStore(1)
-	n, behind := newNode(s), newNode(s)
-	start(c, n)
-	behind.Adopt(n.InForce())
+	n, lagging := newNode(s), newNode(s)
+	confirmFirst(c, n)
+	lagging.Adopt(n.InForce())
 	in := intentWith(1)
 	in.Operators = map[string]string{"other": config.TokenDigest("other-token")}
 	p, _ := n.plan(opsToken, in)
 	c.Assert(n.confirm(opsToken, p, &operator.ConfirmResponse{}), qt.Equals, http.StatusOK)
-	back, code := behind.plan(opsToken, intentWith(9))
+	revert, code := lagging.plan(opsToken, intentWith(9))
 	c.Assert(code, qt.Equals, http.StatusOK)
-	c.Assert(behind.confirm(opsToken, back, &operator.Problem{}), qt.Equals, http.StatusUnauthorized)
+	c.Assert(lagging.confirm(opsToken, revert, &operator.Problem{}), qt.Equals, http.StatusUnauthorized)
 }
 
-func TestUnsettledConfirmationTellsHowToAskLater(t *testing.T) {
+func TestUnknownOutcomeNamesSettleCommand(t *testing.T) {
 	c := qt.New(t)
 	s := newStore(1)
 	n := newNode(s)
-	start(c, n)
+	confirmFirst(c, n)
 	p, _ := n.plan(opsToken, intentWith(3))
-	// Every answer to a write of the head is lost, and reads fail after it.
-	cut := &cutAfterHeadWrite{store: s}
-	srv := New(cut, n.routerFake, "", log.NewNopLogger())
+	// The response to each write of the head is lost, and later reads fail.
+	failing := &failAfterHeadWrite{store: s}
+	srv := New(failing, n.fakeRouter, "", log.NewNopLogger())
 	srv.ledger.pause = func(context.Context, time.Duration) {}
 	mux := http.NewServeMux()
 	srv.Mount(mux)
-	broken := &node{routerFake: n.routerFake, mux: mux}
+	unreachable := &node{fakeRouter: n.fakeRouter, mux: mux}
 	var got operator.Problem
-	c.Assert(broken.confirm(opsToken, p, &got), qt.Equals, http.StatusServiceUnavailable)
+	c.Assert(unreachable.confirm(opsToken, p, &got), qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(got.Reason, qt.Equals, operator.ReasonUnsettled)
 	c.Assert(string(got.Outcome), qt.Equals, "unknown")
 	c.Assert(strings.Contains(got.Detail, "goldcrestctl settle 1-"+p.Plan.Digest), qt.IsTrue)
-	var fate operator.SettleResponse
+	var settled operator.SettleResponse
 	path := operator.PathSettle + "?base=1&digest=" + p.Plan.Digest
-	c.Assert(n.call(context.Background(), opsToken, http.MethodGet, path, nil, &fate), qt.Equals, http.StatusOK)
-	c.Assert(fate.State, qt.Equals, operator.SettleAccepted)
-	c.Assert(fate.Entry.Revision, qt.Equals, uint64(2))
+	c.Assert(n.call(context.Background(), opsToken, http.MethodGet, path, nil, &settled), qt.Equals, http.StatusOK)
+	c.Assert(settled.State, qt.Equals, operator.SettleAccepted)
+	c.Assert(settled.Entry.Revision, qt.Equals, uint64(2))
 }
--- a/transport/operators/size_test.go
+++ b/transport/operators/size_test.go
@@ -12,19 +12,20 @@
 	"goldcrestport/state/config"
 )
 
-// fleetIntent has the sizes to design for.
+// fleetIntent returns an intent with the given number of teams and services. The
+// largest fleet to support has 2,100 teams and 19 services.
 func fleetIntent(teams, services int) *intent.Intent {
 	in := intentWith(1)
-	var all []string
+	var serviceNames []string
 	for s := range services {
 		name := fmt.Sprintf("service-number-%02d", s)
-		all = append(all, name)
+		serviceNames = append(serviceNames, name)
 		in.Services[name] = config.Service{Kind: config.KindModel}
 	}
 	for n := range teams {
 		name := fmt.Sprintf("team-with-a-long-name-%04d", n)
 		tokens := []string{config.TokenDigest(name + "old"), config.TokenDigest(name + "new")}
-		in.Teams[name] = config.Team{Share: 1, Tokens: tokens, Services: all}
+		in.Teams[name] = config.Team{Share: 1, Tokens: tokens, Services: serviceNames}
 	}
 	return in
 }
@@ -33,11 +34,12 @@
 	c := qt.New(t)
 	s := newStore(1)
 	n := newNode(s)
-	start(c, n)
+	confirmFirst(c, n)
 	p, code := n.plan(opsToken, fleetIntent(2100, 19))
 	c.Assert(code, qt.Equals, http.StatusOK)
 	c.Assert(n.confirm(opsToken, p, &operator.ConfirmResponse{}), qt.Equals, http.StatusOK)
-	// The way back from it and a small change after it stay small.
+	// The reverse patch of the large change and a small change after it stay
+	// small.
 	in := p.Intent
 	in.Drain = []string{"one"}
 	p, _ = n.plan(opsToken, in)
@@ -50,7 +52,7 @@
 func BenchmarkPlanAndConfirmLargestFleet(b *testing.B) {
 	c := qt.New(b)
 	n := newNode(newStore(1))
-	start(c, n)
+	confirmFirst(c, n)
 	p, _ := n.plan(opsToken, fleetIntent(2100, 19))
 	c.Assert(n.confirm(opsToken, p, &operator.ConfirmResponse{}), qt.Equals, http.StatusOK)
 	in, i := p.Intent, 0
--- a/transport/operators/store_test.go
+++ b/transport/operators/store_test.go
@@ -9,14 +9,14 @@
 	"goldcrestport/transport/platform"
 )
 
-// faults are the chances that a call of the fake store goes wrong.
+// faults are the probabilities of the faults injected by the fake store.
 type faults struct {
-	// lostBefore drops the call; lostAfter drops its answer; late lets a write
-	// take effect some time after its answer was given up.
+	// lostBefore drops the call; lostAfter drops its response; late applies a
+	// write some time after the call has returned an error.
 	lostBefore, lostAfter, late, busy float64
 }
 
-// store is an in-memory platform.Store with faults. Only Get and Put are used
+// store is an in-memory platform.Store with fault injection. Only Get and Put are used
 // here; the rest comes from the embedded nil interface.
 type store struct {
 	platform.Store
@@ -66,7 +66,7 @@
 		return 0, platform.ErrBusy
 	case s.chance(s.faults.late):
 		s.lost++
-		s.later(key, value, version, time.Duration(s.rng.IntN(5000))*time.Microsecond)
+		s.applyLater(key, value, version, time.Duration(s.rng.IntN(5000))*time.Microsecond)
 		return 0, platform.ErrUnknown
 	}
 	v, err := s.put(key, value, version)
@@ -77,8 +77,8 @@
 	return v, err
 }
 
-// later lets the write arrive after the caller has given it up.
-func (s *store) later(key string, value []byte, version uint64, delay time.Duration) {
+// applyLater applies the write after the call has returned an error.
+func (s *store) applyLater(key string, value []byte, version uint64, delay time.Duration) {
 	s.applying.Add(1)
 	time.AfterFunc(delay, func() {
 		defer s.applying.Done()
