--- a/state/attempts/attempts.go
+++ b/state/attempts/attempts.go
@@ -5,70 +5,71 @@
 	"time"
 )
 
-// ID names one attempt of one request.
+// ID identifies one attempt of one request.
 type ID struct {
 	Request string
 	Number  uint32
 }
 
-// Phase is how far an attempt came.
+// Phase is the state of an attempt in its lifecycle.
 type Phase int
 
 const (
-	// Unsure means that the table cannot tell, since it may have forgotten
-	// the attempt or has no room to block it.
+	// Unsure means that the state is unknown: the table may have evicted the
+	// attempt, or has no room to block it.
 	Unsure Phase = iota
-	// Unseen means that the attempt is not in the table and was not blocked.
+	// Unseen means that the attempt is neither in the table nor blocked.
 	Unseen
-	// Offered means that the attempt waits for a slot.
+	// Offered means that the attempt is queued for a slot.
 	Offered
-	// Declined means that the attempt was not run and will not be run.
+	// Declined means that the attempt has not run and never will.
 	Declined
-	// Blocked means that the attempt was asked about before it was seen, and
-	// that it will not be run.
+	// Blocked means that a router queried the attempt before it arrived; it
+	// will not run if it arrives later.
 	Blocked
-	// Running means that the attempt runs.
+	// Running means that the attempt is in progress.
 	Running
-	// Ended means that the attempt ran and ended.
+	// Ended means that the attempt ran to its end.
 	Ended
 )
 
-// Fate is the table's answer about an attempt.
+// Fate is the result of a query for an attempt.
 type Fate struct {
 	Phase Phase
-	// AnswerKept tells whether the answer of an ended attempt is still there.
+	// AnswerKept reports whether the answer of an ended attempt is still
+	// retained.
 	AnswerKept bool
 }
 
-// record is what is known of one attempt.
+// record is the state of one attempt.
 type record struct {
 	id      ID
 	phase   Phase
 	offered time.Time
 	closed  time.Time
-	// bytes of the kept answer, or noAnswer.
+	// bytes is the size of the retained answer, or noAnswer.
 	bytes int64
-	// in is the list that holds the closed record, and at its place there.
-	in *list.List
-	at *list.Element
+	// list is the list that contains the closed record, element its element there.
+	list    *list.List
+	element *list.Element
 }
 
 const noAnswer = -1
 
-// Table is the table. It must be used by one goroutine at a time.
+// Table is a bounded table of attempts. It is not safe for concurrent use.
 //
-// Invariant: an attempt that was offered at a time after the horizon is in
-// the table. So an attempt that was sent after the horizon and is not in the
-// table was never offered. The source is DESIGN's "only what is proven may be
-// called not-run".
+// Invariant: every attempt that was offered after the horizon is in the table.
+// So an attempt that was sent after the horizon and is not in the table was
+// never offered. This follows the rule in DESIGN that an attempt may be reported
+// as not run only if that is proven.
 //
-// A router that was told that an attempt is declined or blocked runs the request
-// elsewhere, so that attempt must not run when it is offered once more: denied
-// attempts are not forgotten for room, as known ones are.
+// A router that received "declined" or "blocked" for an attempt runs the request
+// elsewhere, so the attempt must not run if it is offered again. Denied attempts
+// are therefore not evicted to free space, unlike known ones.
 type Table struct {
 	cfg     Config
 	records map[ID]*record
-	// denied, known and answers hold *record, the oldest first.
+	// denied, known and answers contain *record, oldest first.
 	denied  *list.List
 	known   *list.List
 	answers *list.List
@@ -90,13 +91,13 @@
 // Len returns the number of attempts in the table.
 func (t *Table) Len() int { return len(t.records) }
 
-// AnswerBytes returns the bytes of the kept answers of ended attempts.
+// AnswerBytes returns the total size of the retained answers in bytes.
 func (t *Table) AnswerBytes() int64 { return t.bytes }
 
-// Offer adds an attempt. It returns Unseen if the attempt is new, and the
-// phase of the attempt if it is known; then it must not be run.
+// Offer adds an attempt. It returns Unseen if the attempt is new. Otherwise it
+// returns the current phase, and the caller must not run the attempt.
 func (t *Table) Offer(now time.Time, id ID) Phase {
-	t.forget(now)
+	t.evict(now)
 	if r := t.records[id]; r != nil {
 		return r.phase
 	}
@@ -104,8 +105,8 @@
 	return Unseen
 }
 
-// Start moves an offered attempt to running. It returns false if the attempt
-// was declined meanwhile; then it must not be run.
+// Start moves an offered attempt to Running. It returns false if the attempt
+// was declined in the meantime; the caller must then not run it.
 func (t *Table) Start(id ID) bool {
 	r := t.records[id]
 	if r == nil || r.phase != Offered {
@@ -115,8 +116,8 @@
 	return true
 }
 
-// Decline moves an offered attempt to declined. It returns false if the
-// attempt was not offered any more.
+// Decline moves an offered attempt to Declined. It returns false if the
+// attempt is no longer in the Offered phase.
 func (t *Table) Decline(now time.Time, id ID) bool {
 	r := t.records[id]
 	if r == nil || r.phase != Offered {
@@ -126,8 +127,8 @@
 	return true
 }
 
-// End moves a running attempt to ended, with the size of its answer. It
-// returns the attempts whose answers must be dropped now.
+// End moves a running attempt to Ended and records the size of its answer. It
+// returns the attempts whose answers the caller must discard.
 func (t *Table) End(now time.Time, id ID, bytes int64) []ID {
 	r := t.records[id]
 	if r == nil || r.phase != Running {
@@ -140,8 +141,8 @@
 	return t.Expire(now)
 }
 
-// Release tells that the answer of an ended attempt is not needed any more.
-// It returns false if the answer was not kept.
+// Release discards the answer of an ended attempt once it is no longer needed.
+// It returns false if the answer was not retained.
 func (t *Table) Release(id ID) bool {
 	r := t.records[id]
 	if r == nil || r.bytes == noAnswer {
@@ -153,15 +154,15 @@
 			break
 		}
 	}
-	t.drop(r)
+	t.discardAnswer(r)
 	return true
 }
 
-// Settle tells the fate of an attempt that was sent at most age ago. One that
-// still waits is declined, and one that was never offered is blocked, so that
-// neither will run.
+// Settle returns the fate of an attempt that was sent at most age ago. It
+// declines an attempt that is still queued and blocks one that was never
+// offered, so that neither will run.
 func (t *Table) Settle(now time.Time, id ID, age time.Duration) Fate {
-	t.forget(now)
+	t.evict(now)
 	r := t.records[id]
 	switch {
 	case r == nil:
@@ -175,7 +176,7 @@
 	return Fate{Phase: r.phase, AnswerKept: r.bytes != noAnswer}
 }
 
-// Peek tells the fate of an attempt and changes nothing.
+// Peek returns the fate of an attempt without changing the table.
 func (t *Table) Peek(id ID) Fate {
 	r := t.records[id]
 	if r == nil {
@@ -193,10 +194,10 @@
 	return Fate{Phase: Blocked}
 }
 
-// deny keeps a record that a router is about to be told of until the attempt
-// cannot be offered any more. It returns false if there is no room for it.
+// deny retains a record whose phase is about to be reported to a router, until
+// the attempt can no longer be offered. It returns false if the list is full.
 func (t *Table) deny(now time.Time, r *record) bool {
-	if r.in == t.denied {
+	if r.list == t.denied {
 		return true
 	}
 	if t.denied.Len() >= t.cfg.MaxBlocked {
@@ -213,16 +214,16 @@
 	t.move(r, t.known)
 }
 
-// move puts the record at the end of the list.
+// move moves the record to the end of the list.
 func (t *Table) move(r *record, to *list.List) {
-	if r.in != nil {
-		r.in.Remove(r.at)
+	if r.list != nil {
+		r.list.Remove(r.element)
 	}
-	r.in, r.at = to, to.PushBack(r)
+	r.list, r.element = to, to.PushBack(r)
 }
 
-// Expire returns the attempts whose answers are kept no longer: they are too
-// old, or too many bytes are kept.
+// Expire discards the oldest answers that exceed the age limit or the byte
+// limit, and returns their attempts.
 func (t *Table) Expire(now time.Time) []ID {
 	var out []ID
 	for e := t.answers.Front(); e != nil; e = t.answers.Front() {
@@ -231,19 +232,21 @@
 			break
 		}
 		t.answers.Remove(e)
-		t.drop(r)
+		t.discardAnswer(r)
 		out = append(out, r.id)
 	}
 	return out
 }
 
-func (t *Table) drop(r *record) {
+// discardAnswer subtracts the size of the record's answer from the total.
+func (t *Table) discardAnswer(r *record) {
 	t.bytes -= r.bytes
 	r.bytes = noAnswer
 }
 
-// forget removes what is too old, or too much, and moves the horizon.
-func (t *Table) forget(now time.Time) {
+// evict removes expired records and records beyond the size limit, and advances
+// the horizon.
+func (t *Table) evict(now time.Time) {
 	for r := oldest(t.denied); r != nil && now.Sub(r.closed) >= t.cfg.BlockFor; r = oldest(t.denied) {
 		t.remove(r)
 	}
@@ -263,12 +266,12 @@
 	return nil
 }
 
-// remove forgets a closed record.
+// remove deletes a closed record and advances the horizon.
 func (t *Table) remove(r *record) {
 	if r.bytes != noAnswer {
 		t.Release(r.id)
 	}
-	r.in.Remove(r.at)
+	r.list.Remove(r.element)
 	delete(t.records, r.id)
 	if r.offered.After(t.horizon) {
 		t.horizon = r.offered
--- a/state/attempts/attempts_test.go
+++ b/state/attempts/attempts_test.go
@@ -14,7 +14,7 @@
 
 func id(n uint32) attempts.ID { return attempts.ID{Request: "r", Number: n} }
 
-func TestUnseenAttemptIsBlockedForEver(t *testing.T) {
+func TestUnseenAttemptIsBlockedWhenQueried(t *testing.T) {
 	c := qt.New(t)
 	table := attempts.New(attempts.DefaultConfig())
 	c.Assert(table.Settle(epoch, id(1), time.Second).Phase, qt.Equals, attempts.Blocked)
@@ -22,7 +22,7 @@
 	c.Assert(table.Start(id(1)), qt.IsFalse)
 }
 
-func TestWaitingAttemptIsDeclinedByASettle(t *testing.T) {
+func TestSettleDeclinesQueuedAttempt(t *testing.T) {
 	c := qt.New(t)
 	table := attempts.New(attempts.DefaultConfig())
 	c.Assert(table.Offer(epoch, id(1)), qt.Equals, attempts.Unseen)
@@ -31,7 +31,7 @@
 	c.Assert(table.Start(id(1)), qt.IsFalse)
 }
 
-func TestForgottenAttemptIsNeverCalledUnseen(t *testing.T) {
+func TestEvictedAttemptIsReportedAsUnsure(t *testing.T) {
 	c := qt.New(t)
 	cfg := attempts.DefaultConfig()
 	cfg.MaxKnown = 2
@@ -45,12 +45,12 @@
 	now := epoch.Add(10 * time.Second)
 	c.Assert(table.Settle(now, id(1), 9*time.Second).Phase, qt.Equals, attempts.Unsure)
 	c.Assert(table.Settle(now, id(4), 6*time.Second).Phase, qt.Equals, attempts.Ended)
-	// An attempt that was sent after the last forgotten one is known not to
-	// have come.
+	// An attempt that was sent after the last evicted one is known not to have
+	// arrived.
 	c.Assert(table.Settle(now, id(9), time.Second).Phase, qt.Equals, attempts.Blocked)
 }
 
-func TestFullBlockListBlocksNoMore(t *testing.T) {
+func TestFullBlockListReturnsUnsure(t *testing.T) {
 	c := qt.New(t)
 	cfg := attempts.DefaultConfig()
 	cfg.MaxBlocked = 1
@@ -60,9 +60,10 @@
 	c.Assert(table.Settle(epoch.Add(cfg.BlockFor), id(2), 0).Phase, qt.Equals, attempts.Blocked)
 }
 
-// An attempt that a router was told is declined is offered again after so many
-// others ended that there is no room to remember them: it does not run.
-func TestADeniedAttemptIsNotForgottenForRoom(t *testing.T) {
+// Guards against running a request twice: an attempt that was reported to a
+// router as declined must stay denied when it is offered again, even after other
+// attempts have filled the table.
+func TestDeniedAttemptIsNotEvictedWhenTableIsFull(t *testing.T) {
 	c := qt.New(t)
 	cfg := attempts.DefaultConfig()
 	cfg.MaxKnown, cfg.MaxBlocked = 1, 1
@@ -70,14 +71,14 @@
 	table.Offer(epoch, id(1))
 	c.Assert(table.Settle(epoch, id(1), 0).Phase, qt.Equals, attempts.Declined)
 	table.Offer(epoch, id(4))
-	// Without room to keep it denied, nothing is promised of it.
+	// The list of denied attempts is full, so the result is Unsure.
 	c.Assert(table.Settle(epoch, id(4), 0).Phase, qt.Equals, attempts.Unsure)
 	c.Assert(table.Offer(epoch, id(1)), qt.Equals, attempts.Declined)
 	c.Assert(table.Start(id(1)), qt.IsFalse)
 	c.Assert(table.Offer(epoch.Add(cfg.BlockFor), id(1)), qt.Equals, attempts.Unseen)
 }
 
-func TestKeptAnswersAreBounded(t *testing.T) {
+func TestRetainedAnswersAreBounded(t *testing.T) {
 	c := qt.New(t)
 	cfg := attempts.DefaultConfig()
 	cfg.AnswerBytes = 100
@@ -95,9 +96,9 @@
 	c.Assert(table.AnswerBytes(), qt.Equals, int64(0))
 }
 
-// An attempt that ran is never told to be blocked or declined, whatever was
-// forgotten, and one that was told so never starts afterwards.
-func TestNoRunIsDenied(t *testing.T) {
+// An attempt that ran is never reported as blocked or declined, whatever was
+// evicted, and an attempt that was reported so never starts afterwards.
+func TestAttemptThatRanIsNeverReportedAsDenied(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := attempts.DefaultConfig()
 		cfg.MaxKnown = rapid.IntRange(1, 4).Draw(t, "known")
@@ -113,7 +114,7 @@
 				sent[n] = now
 			}
 			if now.Sub(sent[n]) >= cfg.BlockFor {
-				continue // no router keeps a request for so long
+				continue // routers do not retain a request this long
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
@@ -131,7 +132,7 @@
 				p := table.Settle(now, id(n), now.Sub(sent[n])).Phase
 				if p == attempts.Blocked || p == attempts.Declined {
 					if ran[n] {
-						t.Fatalf("attempt %d ran and is told %v", n, p)
+						t.Fatalf("attempt %d ran but is reported as %v", n, p)
 					}
 					denied[n] = true
 				}
--- a/state/attempts/config.go
+++ b/state/attempts/config.go
@@ -1,10 +1,9 @@
-// Package attempts is the bounded table of the attempts that one sidecar was
-// offered. It answers what became of an attempt, and it blocks attempts that
-// it has not seen, so that a router may run them elsewhere.
+// Package attempts implements the bounded table of the attempts that one sidecar
+// was offered. It reports the state of an attempt, and blocks attempts that it
+// has not seen, so that a router may run them elsewhere.
 //
-// The package is pure: it has no I/O, clock or goroutines, and it holds no
-// answers, only how many bytes of them are kept. The driver is
-// transport/sidecar.
+// The package has no I/O, clock or goroutines. It stores the sizes of the
+// retained answers, not the answers themselves. transport/sidecar drives it.
 package attempts
 
 import (
@@ -13,27 +12,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config holds the bounds of a Table.
+// Config contains the limits of a Table.
 type Config struct {
-	// BlockFor is how long an attempt that a router was told is blocked or
-	// declined stays so. A start that arrives later would run. A router hands a start to its kernel before it
-	// asks, and closes that connection, so this must be longer than a kernel
-	// goes on sending for a closed connection (under two minutes on Linux).
+	// BlockFor is how long an attempt stays denied after it was reported to a
+	// router as blocked or declined; a start that arrives later would run. A
+	// router passes the start to its kernel and closes that connection before
+	// it queries the attempt. So this must exceed the time for which a kernel
+	// keeps sending on a closed connection (under two minutes on Linux).
 	// Default 15m.
 	BlockFor time.Duration
-	// MaxBlocked bounds the attempts that a router was told are blocked or
-	// declined. When it is reached, Settle tells that it does not know.
-	// Default 8192.
+	// MaxBlocked limits the number of attempts reported to routers as blocked
+	// or declined. When it is reached, Settle returns Unsure. Default 8192.
 	MaxBlocked int
-	// KnownFor is how long an attempt that ended, or was declined and not
-	// asked about, is remembered. Default 15m.
+	// KnownFor is how long an attempt is retained that ended, or that was
+	// declined without being queried by a router. Default 15m.
 	KnownFor time.Duration
-	// MaxKnown bounds those. Default 65536.
+	// MaxKnown limits the number of attempts retained for KnownFor. Default
+	// 65536.
 	MaxKnown int
-	// AnswerFor is how long the answer of an ended attempt is kept.
+	// AnswerFor is how long the answer of an ended attempt is retained.
 	// Default 30s.
 	AnswerFor time.Duration
-	// AnswerBytes bounds the kept answers of ended attempts, in bytes.
+	// AnswerBytes limits the total size of the retained answers, in bytes.
 	// Default 32 MiB.
 	AnswerBytes int64
 }
