--- a/state/claims/claims_test.go
+++ b/state/claims/claims_test.go
@@ -11,25 +11,25 @@
 func TestTableRoundTripAndExpiry(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Unix(1_800_000_000, 0)
-	held := Record{State: Claimed, Digest: "d", At: now.Unix(), Attempt: "a", Executor: Executor{"i", "127.0.0.1:1"}}
-	ended := held.End(Result{Outcome: "completed", Status: 201, Kept: true, Body: []byte("ok")})
-	lost := held.End(Result{Outcome: "unknown"})
-	c.Assert(lost.State, quicktest.Equals, Unknown)
+	claimed := Record{State: Claimed, Digest: "d", At: now.Unix(), Attempt: "a", Executor: Executor{"i", "127.0.0.1:1"}}
+	ended := claimed.End(Result{Outcome: "completed", Status: 201, Kept: true, Body: []byte("ok")})
+	unknown := claimed.End(Result{Outcome: "unknown"})
+	c.Assert(unknown.State, quicktest.Equals, Unknown)
 	old := Record{State: Claimed, Digest: "d", At: now.Add(-2 * time.Hour).Unix()}
-	table := (&Table{}).With(map[Key]*Record{"1": &held, "2": &ended, "3": &lost, "4": &old}, now, 3*time.Hour)
+	table := (&Table{}).With(map[Key]*Record{"1": &claimed, "2": &ended, "3": &unknown, "4": &old}, now, 3*time.Hour)
 	data, err := table.Encode()
 	c.Assert(err, quicktest.IsNil)
 	back, err := Decode(data)
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(back, quicktest.DeepEquals, table)
 	next := back.With(map[Key]*Record{"1": nil}, now, time.Hour)
-	c.Assert(next.Records, quicktest.DeepEquals, map[Key]Record{"2": ended, "3": lost})
-	c.Assert(back.Records, quicktest.HasLen, 4, quicktest.Commentf("With must not change its table"))
+	c.Assert(next.Records, quicktest.DeepEquals, map[Key]Record{"2": ended, "3": unknown})
+	c.Assert(back.Records, quicktest.HasLen, 4, quicktest.Commentf("With must not modify its receiver"))
 	_, err = Decode([]byte("{"))
 	c.Assert(err, quicktest.IsNotNil)
 }
 
-func TestKeysDiffer(t *testing.T) {
+func TestKeysAreDistinctAndSpreadOverShards(t *testing.T) {
 	c := quicktest.New(t)
 	c.Assert(NewKey("ab", "c", "k"), quicktest.Not(quicktest.Equals), NewKey("a", "bc", "k"))
 	c.Assert(NewDigest("POST", "/a", []byte("b")), quicktest.Not(quicktest.Equals), NewDigest("POST", "/", []byte("ab")))
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestAttemptsAnswerForTheirProcess(t *testing.T) {
+func TestAttemptsReportTheirState(t *testing.T) {
 	c := quicktest.New(t)
 	a := NewAttempts(2)
 	fate := func(id string) Fate { f, _ := a.Fate(id); return f }
@@ -55,24 +55,24 @@
 	c.Assert(fate("p"), quicktest.Equals, FateNotRun)
 }
 
-// TestBytesPerClaim logs what one key takes of a shard's value.
+// TestBytesPerClaim logs and bounds the stored size of one key.
 func TestBytesPerClaim(t *testing.T) {
 	c := quicktest.New(t)
 	const n = 1000
 	now := time.Unix(1_800_000_000, 0)
-	held, ended := map[Key]*Record{}, map[Key]*Record{}
+	claimed, ended := map[Key]*Record{}, map[Key]*Record{}
 	for i := range n {
 		k := NewKey("team", "service", fmt.Sprint(i))
 		r := Record{State: Claimed, Digest: NewDigest("POST", "/pledges", []byte(k)), At: now.Unix(),
 			Attempt: "6ba7b810-9dad-11d1-80b4-00c04fd430c8", Executor: Executor{"6ba7b811-9dad-11d1-80b4-00c04fd430c8", "10.20.30.40:17400"}}
 		e := r.End(Result{Outcome: "completed", Status: 200, MediaType: "application/json", Kept: true, Body: make([]byte, 100)})
-		held[k], ended[k] = &r, &e
+		claimed[k], ended[k] = &r, &e
 	}
 	size := func(m map[Key]*Record) int {
 		data, err := (&Table{}).With(m, now, time.Hour).Encode()
 		c.Assert(err, quicktest.IsNil)
 		return len(data) / n
 	}
-	t.Logf("bytes per key: claimed %d, finished with an answer of 100 bytes %d", size(held), size(ended))
-	c.Assert(size(held) < 256 && size(ended) < 320, quicktest.IsTrue)
+	t.Logf("bytes per key: claimed %d, finished with an answer of 100 bytes %d", size(claimed), size(ended))
+	c.Assert(size(claimed) < 256 && size(ended) < 320, quicktest.IsTrue)
 }
--- a/state/claims/key.go
+++ b/state/claims/key.go
@@ -1,9 +1,9 @@
-// Package claims holds the records that make a non-idempotent request with a
-// caller's key run at most once, and their form in the platform's key-value
-// service.
+// Package claims defines the records that ensure that a non-idempotent request
+// with an idempotency key runs at most once, and their encoding in the platform's
+// key-value service.
 //
 // Keys are hashed to a fixed number of shards; the records of one shard are
-// one value of the service. coordination/claim decides what is written.
+// stored as one value. coordination/claim decides what is written.
 package claims
 
 import (
@@ -14,15 +14,15 @@
 	"hash"
 )
 
-// Shards is the number of values over which the keys are spread. It is part
-// of the stored form: every process must use the same number.
+// Shards is the number of stored values over which keys are distributed. It is
+// part of the storage format: every process must use the same number.
 const Shards = 16
 
 // keyPrefix is the prefix of the platform keys of the shards.
 const keyPrefix = "goldcrest/claims/v1/"
 
-// digestSize is the size in bytes to which SHA-256 digests are cut. Keys and
-// bodies come from callers, so collisions must be hard to find.
+// digestSize is the size in bytes to which SHA-256 digests are truncated. Keys
+// and bodies are chosen by callers, so collisions must be hard to find.
 const digestSize = 16
 
 // Key identifies a caller's idempotency key within a team and a service.
@@ -33,14 +33,14 @@
 	return Key(digest([]byte(team), []byte(service), []byte(key)))
 }
 
-// NewDigest returns the digest that tells whether two requests with one key
-// are the same request.
+// NewDigest returns the digest by which requests with the same key are compared
+// for equality.
 func NewDigest(method, path string, body []byte) string {
 	return digest([]byte(method), []byte(path), body)
 }
 
-// digest hashes the parts with their lengths, so that no two lists of parts
-// give the same input.
+// digest hashes the parts with length prefixes, so that different lists of parts
+// never produce the same hash input.
 func digest(parts ...[]byte) string {
 	h := sha256.New()
 	for _, p := range parts {
--- a/state/claims/table.go
+++ b/state/claims/table.go
@@ -9,30 +9,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Table holds the records of one shard. A Table that was encoded or handed
-// out is not changed any more; With makes the next one.
+// Table contains the records of one shard. It is immutable once it has been
+// encoded or shared; With returns a modified copy.
 type Table struct {
 	Records map[Key]Record `json:"r"`
-	// Sealed lists the segments that hold the older records of the shard.
+	// Sealed lists the segments that contain the older records of the shard.
 	Sealed []Segment `json:"g,omitempty"`
 }
 
-// Segment is a value of its own with records that have ended. It is written
-// once, before the shard's value names it, and never changed.
+// Segment refers to a separately stored value with records of ended attempts.
+// The value is written once, before the shard's value refers to it, and is never
+// modified.
 type Segment struct {
 	// ID is unique within the shard.
 	ID string `json:"i"`
-	// Last is when the newest of its keys was claimed, in Unix seconds.
+	// Last is the claim time of its newest key, in Unix seconds.
 	Last int64 `json:"l"`
 }
 
-// Expired reports whether every record of the segment may be dropped.
+// Expired reports whether every record of the segment may be deleted.
 func (g Segment) Expired(now time.Time, expiry time.Duration) bool {
 	return Record{At: g.Last}.Expired(now, expiry)
 }
 
-// Ended returns a table of the records that have ended and so cannot change
-// any more, and the claim time of the newest.
+// Ended returns a table of the records whose attempts have ended, which are
+// final, and the claim time of the newest one.
 func (t *Table) Ended() (*Table, int64) {
 	out, last := &Table{Records: map[Key]Record{}}, int64(0)
 	for k, r := range t.Records {
@@ -44,8 +45,8 @@
 	return out, last
 }
 
-// Seal returns the table without the records of a segment that was written,
-// and with its name. Keys that were changed since stay.
+// Seal returns the table without the records that were written to the segment g,
+// and with a reference to g. Keys that changed in the meantime are retained.
 func (t *Table) Seal(g Segment, sealed *Table, changed map[Key]*Record) *Table {
 	next := &Table{Records: map[Key]Record{}, Sealed: append(slices.Clone(t.Sealed), g)}
 	for k, r := range t.Records {
@@ -57,8 +58,8 @@
 	return next
 }
 
-// With returns the table with the changes applied and expired records
-// dropped. A nil change deletes its record.
+// With returns a copy of the table with the changes applied and expired records
+// removed. A nil change deletes the record of its key.
 func (t *Table) With(changes map[Key]*Record, now time.Time, expiry time.Duration) *Table {
 	next := maps.Clone(t.Records)
 	if next == nil {
@@ -76,13 +77,13 @@
 	return &Table{Records: next, Sealed: sealed}
 }
 
-// Encode returns the stored form of the table.
+// Encode returns the table in its storage format.
 func (t *Table) Encode() ([]byte, error) {
 	data, err := json.Marshal(t)
 	return data, errors.Wrap(err, "encode claims")
 }
 
-// Decode reads the stored form; an empty value is an empty table.
+// Decode parses the storage format. An empty value yields an empty table.
 func Decode(data []byte) (*Table, error) {
 	t := &Table{}
 	if len(data) == 0 {
