--- a/state/config/canonical.go
+++ b/state/config/canonical.go
@@ -10,12 +10,12 @@
 	"strconv"
 )
 
-// digestDomain keeps digests of plans apart from other digests.
+// digestDomain is the domain separator of plan digests.
 const digestDomain = "goldcrest-plan/1"
 
-// Content returns the document's part that operators state, in canonical
-// form: lists are sorted and without repeats. Two documents that state the
-// same have equal content.
+// Content returns the operator-defined part of the document in canonical form:
+// lists are sorted and without duplicates. Equivalent documents have equal
+// content.
 func (d *Document) Content() *Document {
 	c := &Document{
 		Teams:     make(map[string]Team, len(d.Teams)),
@@ -25,7 +25,7 @@
 		Operators: maps.Clone(d.Operators),
 	}
 	for name, t := range d.Teams {
-		// These two are required in an intent, so they must not become null.
+		// Both fields are required in an intent, so they must not be encoded as null.
 		t.Tokens, t.Services = append([]string{}, sortedSet(t.Tokens)...), append([]string{}, sortedSet(t.Services)...)
 		c.Teams[name] = t
 	}
@@ -58,9 +58,9 @@
 	return slices.Compact(out)
 }
 
-// PlanDigest returns the digest of the plan that leads from the base revision
-// to the content of next. It depends on nothing else, so that every router
-// computes the same.
+// PlanDigest returns the digest of the plan that changes the base revision to the
+// content of next. It depends on nothing else, so that every router computes the
+// same digest.
 func PlanDigest(base uint64, next *Document) (string, error) {
 	// encoding/json writes map keys in sorted order.
 	data, err := json.Marshal(next.Content())
--- a/state/config/config.go
+++ b/state/config/config.go
@@ -1,9 +1,9 @@
-// Package config holds the live configuration that operators confirm: teams
+// Package config defines the dynamic configuration that operators confirm: teams
 // with their shares, services and the backend servers to drain.
 //
 // The document is stored in the platform's key-value service under one key
-// and held in memory by every process. Start-up settings are elsewhere
-// (protocol/settings).
+// and cached in memory by every process. Start-up settings are defined in
+// protocol/settings.
 package config
 
 import (
@@ -13,33 +13,34 @@
 	"time"
 )
 
-// ServiceKind says how a service is called and how its cost is counted.
+// ServiceKind determines how a service is called and how cost is measured.
 type ServiceKind string
 
 const (
-	// KindModel is a model engine; cost is counted in tokens.
+	// KindModel is a model engine; cost is measured in tokens.
 	KindModel ServiceKind = "model"
-	// KindPlain is a plain service; cost is counted in milliseconds of a slot.
+	// KindPlain is a plain service; cost is measured in slot milliseconds.
 	KindPlain ServiceKind = "plain"
 )
 
 // Document is one revision of the whole configuration.
 type Document struct {
-	// Revision rises by one with each accepted change.
+	// Revision increases by one with each accepted change.
 	Revision uint64             `json:"revision"`
 	Teams    map[string]Team    `json:"teams"`
 	Services map[string]Service `json:"services"`
-	// Drain lists the ids of backend servers that get no new work.
+	// Drain lists the ids of backend servers that receive no new requests.
 	Drain []string `json:"drain,omitempty"`
-	// Evacuate lists the data centres whose backend servers get no new work.
+	// Evacuate lists the data centres whose backend servers receive no new
+	// requests.
 	Evacuate []string `json:"evacuate,omitempty"`
-	// Operators maps an operator's name to the digest of the token.
+	// Operators maps an operator's name to the digest of the operator's token.
 	Operators map[string]string `json:"operators,omitempty"`
-	// Digest of the plan that made this revision.
+	// PlanDigest is the digest of the plan that produced this revision.
 	PlanDigest string `json:"plan_digest,omitempty"`
-	// Accepted says who confirmed this revision and when.
+	// Accepted records who confirmed this revision and when.
 	Accepted *Acceptance `json:"accepted,omitempty"`
-	// Back leads from this revision to the one before it.
+	// Back is the patch that reverts this revision to the previous one.
 	Back *Patch `json:"back,omitempty"`
 }
 
@@ -47,53 +48,54 @@
 type Acceptance struct {
 	// By is the operator's name.
 	By string `json:"by"`
-	// At is the time of the confirmation by the clock of the router asked.
+	// At is the confirmation time by the clock of the router that handled it.
 	At time.Time `json:"at"`
-	// Summary of the changes in one line.
+	// Summary describes the changes in one line.
 	Summary string `json:"summary"`
 }
 
-// Team is one team's part of the configuration.
+// Team is the configuration of one team.
 type Team struct {
-	// Share is the weight of the team in each pool that it may use.
+	// Share is the team's weight in each pool that it may use.
 	Share float64 `json:"share"`
 	// Tokens are hex SHA-256 digests of the team's bearer tokens.
 	Tokens []string `json:"tokens"`
-	// Services that the team may reach.
+	// Services lists the services that the team may call.
 	Services []string `json:"services"`
-	// MaxQueued bounds the requests that wait per router; 0 for the default.
+	// MaxQueued limits the queued requests per router; 0 for the default.
 	MaxQueued int `json:"max_queued,omitempty"`
-	// MaxQueuedBytes bounds the bytes that wait per router; 0 for the default.
+	// MaxQueuedBytes limits the queued bytes per router; 0 for the default.
 	MaxQueuedBytes int64 `json:"max_queued_bytes,omitempty"`
 }
 
-// Service is one service's part of the configuration.
+// Service is the configuration of one service.
 type Service struct {
 	Kind ServiceKind `json:"kind"`
-	// NonIdempotent lists path prefixes whose calls run at most once.
+	// NonIdempotent lists the path prefixes whose requests run at most once.
 	NonIdempotent []string `json:"non_idempotent,omitempty"`
-	// MaxBody bounds a request body in bytes; 0 for the default.
+	// MaxBody limits the size of a request body in bytes; 0 for the default.
 	MaxBody int64 `json:"max_body,omitempty"`
-	// Models that the backend servers have to hold.
+	// Models lists the models that the backend servers must have loaded.
 	Models []Model `json:"models,omitempty"`
-	// ChecksFence tells that the engines refuse an older fencing token.
+	// ChecksFence reports whether the engines reject outdated fencing tokens.
 	ChecksFence bool `json:"checks_fence,omitempty"`
-	// Wave is how many backend servers of the pool may be changed at once in a
-	// way that takes capacity away; 0 for one.
+	// Wave is the number of backend servers of the pool that may undergo a
+	// capacity-reducing change at the same time; 0 means one.
 	Wave int `json:"wave,omitempty"`
-	// Role that the engines have to play.
+	// Role is the required role of the engines.
 	Role string `json:"role,omitempty"`
 }
 
-// Model is a model or adapter in one version.
+// Model is one version of a model or adapter.
 type Model struct {
 	Name    string `json:"name"`
 	Version string `json:"version"`
-	// Adapter marks an adapter on top of a model.
+	// Adapter reports whether this is an adapter of a base model.
 	Adapter bool `json:"adapter,omitempty"`
 }
 
-// TokenDigest returns the digest under which a bearer token is configured.
+// TokenDigest returns the digest that represents a bearer token in the
+// configuration.
 func TokenDigest(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
@@ -116,8 +118,8 @@
 
 // OperatorOf returns the operator whose token has this digest.
 func (d *Document) OperatorOf(digest string) (string, bool) {
-	for name, own := range d.Operators {
-		if own == digest {
+	for name, configured := range d.Operators {
+		if configured == digest {
 			return name, true
 		}
 	}
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -11,7 +11,8 @@
 	"goldcrestport/state/config"
 )
 
-// document draws a small document, so that two draws overlap often.
+// document generates a small document from few names, so that two generated
+// documents often overlap.
 func document(t *rapid.T, label string) *config.Document {
 	names := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 	lists := rapid.SliceOfN(names, 0, 3)
@@ -34,11 +35,11 @@
 	}
 }
 
-func TestPatchLeadsThereAndBack(t *testing.T) {
+func TestPatchAppliesAndReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := document(t, "a"), document(t, "b")
-		forth, back := config.Between(a, b), config.Between(b, a)
-		stored, err := json.Marshal(back)
+		forward, backward := config.Between(a, b), config.Between(b, a)
+		stored, err := json.Marshal(backward)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,11 +47,11 @@
 		if err := json.Unmarshal(stored, &read); err != nil {
 			t.Fatal(err)
 		}
-		// The contents are compared without the patch's own notion of equality.
-		if !reflect.DeepEqual(forth.Apply(a), b.Content()) || !reflect.DeepEqual(read.Apply(b), a.Content()) {
-			t.Fatalf("a patch lost something: forth %+v back %+v", forth, back)
+		// Compares contents independently of Equal, which is itself based on patches.
+		if !reflect.DeepEqual(forward.Apply(a), b.Content()) || !reflect.DeepEqual(read.Apply(b), a.Content()) {
+			t.Fatalf("patch does not reproduce the document: forward %+v backward %+v", forward, backward)
 		}
-		if same := reflect.DeepEqual(a.Content(), b.Content()); forth.Empty() != same || config.Equal(a, b) != same {
+		if same := reflect.DeepEqual(a.Content(), b.Content()); forward.Empty() != same || config.Equal(a, b) != same {
 			t.Fatal("an empty patch must mean equal documents")
 		}
 	})
--- a/state/config/patch.go
+++ b/state/config/patch.go
@@ -2,33 +2,32 @@
 
 import "reflect"
 
-// Patch is the difference between the contents of two documents. A nil value
-// removes the name.
+// Patch is the difference between the contents of two documents. A nil map value
+// deletes the entry.
 type Patch struct {
 	Teams     map[string]*Team    `json:"teams,omitempty"`
 	Services  map[string]*Service `json:"services,omitempty"`
 	Operators map[string]*string  `json:"operators,omitempty"`
-	// Drain replaces the whole list if it is present.
+	// Drain replaces the whole list if it is non-nil.
 	Drain *[]string `json:"drain,omitempty"`
-	// Evacuate does the same.
+	// Evacuate replaces the whole list if it is non-nil.
 	Evacuate *[]string `json:"evacuate,omitempty"`
 }
 
-// Between returns the patch that turns the content of from into that of to.
+// Between returns the patch that changes the content of from to that of to.
 func Between(from, to *Document) Patch {
 	a, b := from.Content(), to.Content()
 	p := Patch{
-		Teams:     between(a.Teams, b.Teams),
-		Services:  between(a.Services, b.Services),
-		Operators: between(a.Operators, b.Operators),
+		Teams:     diffMaps(a.Teams, b.Teams),
+		Services:  diffMaps(a.Services, b.Services),
+		Operators: diffMaps(a.Operators, b.Operators),
 	}
-	p.Drain, p.Evacuate = replaced(a.Drain, b.Drain), replaced(a.Evacuate, b.Evacuate)
+	p.Drain, p.Evacuate = replacement(a.Drain, b.Drain), replacement(a.Evacuate, b.Evacuate)
 	return p
 }
 
-// replaced returns the list that takes the other one's place, nil if they are the
-// same.
-func replaced(from, to []string) *[]string {
+// replacement returns the list to, or nil if both lists are equal.
+func replacement(from, to []string) *[]string {
 	if reflect.DeepEqual(from, to) {
 		return nil
 	}
@@ -36,7 +35,7 @@
 	return &next
 }
 
-func between[V any](from, to map[string]V) map[string]*V {
+func diffMaps[V any](from, to map[string]V) map[string]*V {
 	out := map[string]*V{}
 	for name := range from {
 		if _, kept := to[name]; !kept {
@@ -54,15 +53,15 @@
 	return out
 }
 
-// Apply returns the content that the patch makes of the document.
+// Apply returns the content of the document with the patch applied.
 func (p Patch) Apply(d *Document) *Document {
 	c := d.Content()
-	apply(c.Teams, p.Teams)
-	apply(c.Services, p.Services)
+	applyChanges(c.Teams, p.Teams)
+	applyChanges(c.Services, p.Services)
 	if c.Operators == nil {
 		c.Operators = map[string]string{}
 	}
-	apply(c.Operators, p.Operators)
+	applyChanges(c.Operators, p.Operators)
 	if p.Drain != nil {
 		c.Drain = *p.Drain
 	}
@@ -72,7 +71,7 @@
 	return c.Content()
 }
 
-func apply[V any](to map[string]V, patch map[string]*V) {
+func applyChanges[V any](to map[string]V, patch map[string]*V) {
 	for name, next := range patch {
 		if next == nil {
 			delete(to, name)
@@ -87,5 +86,5 @@
 	return len(p.Teams) == 0 && len(p.Services) == 0 && len(p.Operators) == 0 && p.Drain == nil && p.Evacuate == nil
 }
 
-// Equal reports whether two documents state the same.
+// Equal reports whether two documents have the same content.
 func Equal(a, b *Document) bool { return Between(a, b).Empty() }
--- a/state/config/tokens.go
+++ b/state/config/tokens.go
@@ -1,20 +1,19 @@
 package config
 
-// Tokens finds a team by its token in constant time. It belongs to one
-// revision and is not changed after it was made, so that it may be read
-// concurrently.
+// Tokens is an index from token digests to teams with constant-time lookup. It
+// belongs to one revision and is immutable, so it is safe for concurrent use.
 type Tokens struct {
 	doc      *Document
 	byDigest map[string]string
 }
 
 // NewTokens returns the index of the document's tokens. Where two teams share
-// a digest, the team whose name sorts first has it.
+// a digest, the team whose name sorts first takes precedence.
 func NewTokens(doc *Document) *Tokens {
 	t := &Tokens{doc: doc, byDigest: map[string]string{}}
 	for name, team := range doc.Teams {
 		for _, digest := range team.Tokens {
-			if holder, taken := t.byDigest[digest]; !taken || name < holder {
+			if owner, taken := t.byDigest[digest]; !taken || name < owner {
 				t.byDigest[digest] = name
 			}
 		}
@@ -22,7 +21,7 @@
 	return t
 }
 
-// Document returns the document that the index belongs to.
+// Document returns the indexed document.
 func (t *Tokens) Document() *Document { return t.doc }
 
 // Team returns the team that has a token with this digest.
