--- a/state/estimate/estimate.go
+++ b/state/estimate/estimate.go
@@ -1,22 +1,23 @@
-// Package estimate learns what a request costs from the requests that ended.
+// Package estimate predicts the cost of a request from the costs of completed
+// requests.
 //
-// It keeps an exponentially weighted moving average per team and class, per
-// team, and over all, in a bounded table. coordination/share calls it.
+// It maintains exponentially weighted moving averages per team and class, per
+// team, and overall, in a bounded table. coordination/share uses it.
 package estimate
 
 import "github.com/cockroachdb/errors"
 
-// Config holds the parameters of the averages.
+// Config contains the parameters of the averages.
 type Config struct {
-	// Gain is the weight of one more cost once an average is settled, without
-	// unit. Default 0.1.
+	// Gain is the weight of a new sample once an average has converged
+	// (dimensionless). Default 0.1.
 	Gain float64
-	// MaxEntries bounds the table, in averages. Default 16384.
+	// MaxEntries limits the number of averages in the table. Default 16384.
 	MaxEntries int
-	// Initial is the estimate before anything ended, in cost units. Default 1.
+	// Initial is the estimate before the first sample, in cost units. Default 1.
 	Initial float64
-	// HintWeight is the weight of the caller's hint, counted in ended
-	// requests. Default 1.
+	// HintWeight is the weight of the caller's hint, as an equivalent number of
+	// completed requests. Default 1.
 	HintWeight float64
 }
 
@@ -43,10 +44,11 @@
 	return err
 }
 
-// key names one average; class is empty for the whole team.
+// key identifies one average; class is empty for the whole team.
 type key struct{ team, class string }
 
-// average is a moving average that starts as a plain mean.
+// average is a moving average that starts as an arithmetic mean, until 1/n falls
+// below the gain.
 type average struct {
 	mean float64
 	n    float64
@@ -57,11 +59,11 @@
 	a.mean += max(gain, 1/a.n) * (v - a.mean)
 }
 
-// Table holds the averages. It must be used by one goroutine at a time.
+// Table contains the averages. It is not safe for concurrent use.
 type Table struct {
 	cfg     Config
 	entries map[key]*average
-	all     average
+	overall average
 }
 
 // New returns an empty table. The config must be valid.
@@ -69,9 +71,9 @@
 	return &Table{cfg: cfg, entries: map[key]*average{}}
 }
 
-// Observe adds the settled cost of one request.
+// Observe adds the final cost of one request.
 func (t *Table) Observe(team, class string, cost float64) {
-	t.all.add(cost, t.cfg.Gain)
+	t.overall.add(cost, t.cfg.Gain)
 	t.observe(key{team: team}, cost)
 	if class != "" {
 		t.observe(key{team: team, class: class}, cost)
@@ -90,7 +92,8 @@
 	a.add(cost, t.cfg.Gain)
 }
 
-// evict drops one average; which one does not matter, it is learnt again.
+// evict removes an arbitrary average; any choice is acceptable, because the
+// average is rebuilt from later samples.
 func (t *Table) evict() {
 	for k := range t.entries {
 		delete(t.entries, k)
@@ -99,26 +102,26 @@
 }
 
 // Estimate returns the expected cost of a request. The class may be empty and
-// the hint 0. A hint counts like HintWeight ended requests, so it matters
-// only until the class is known.
+// the hint 0. A hint counts as HintWeight completed requests, so its effect fades
+// as samples of the class accumulate.
 func (t *Table) Estimate(team, class string, hint float64) float64 {
-	mean, n := t.known(team, class)
+	mean, n := t.mostSpecific(team, class)
 	if hint <= 0 {
 		return mean
 	}
 	return (mean*n + hint*t.cfg.HintWeight) / (n + t.cfg.HintWeight)
 }
 
-// known returns the narrowest average that exists, and its number of costs.
-func (t *Table) known(team, class string) (float64, float64) {
+// mostSpecific returns the most specific average that exists and its sample weight.
+func (t *Table) mostSpecific(team, class string) (float64, float64) {
 	if a := t.entries[key{team: team, class: class}]; a != nil {
 		return a.mean, a.n
 	}
 	if a := t.entries[key{team: team}]; a != nil {
 		return a.mean, 1
 	}
-	if t.all.n > 0 {
-		return t.all.mean, 1
+	if t.overall.n > 0 {
+		return t.overall.mean, 1
 	}
 	return t.cfg.Initial, 0
 }
--- a/state/estimate/estimate_test.go
+++ b/state/estimate/estimate_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestEstimateNarrowsFromAllToClass(t *testing.T) {
+func TestEstimateUsesMostSpecificAverage(t *testing.T) {
 	c := qt.New(t)
 	tab := New(DefaultConfig())
 	c.Assert(tab.Estimate("a", "long", 0), qt.Equals, 1.0)
@@ -19,7 +19,7 @@
 	c.Assert(tab.Estimate("a", "long", 0), qt.Equals, 100.0)
 }
 
-func TestHintFadesAsCostsSettle(t *testing.T) {
+func TestHintLosesWeightAsSamplesAccumulate(t *testing.T) {
 	c := qt.New(t)
 	tab := New(DefaultConfig())
 	for range 99 {
