--- a/state/eventstream/eventstream.go
+++ b/state/eventstream/eventstream.go
@@ -1,8 +1,8 @@
-// Package eventstream follows the events of a stream that is passed on, so that its caller
-// gets whole events only and it can go on at another server after the last one that the
-// caller has.
+// Package eventstream tracks the events of a forwarded server-sent event stream, so that the
+// caller receives complete events only and another server can resume the stream after the
+// last event that the caller received.
 //
-// Direct routers use it, and sidecars its Position.
+// Direct routers use it; sidecars use only Position.
 package eventstream
 
 import (
@@ -12,63 +12,65 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrNotContinued means that a stream does not go on after the last event that its caller has.
+// ErrNotContinued means that a stream does not continue after the last event that its caller
+// received.
 var ErrNotContinued = errors.New("the stream does not go on after the last event")
 
-// Follower is one stream towards a caller. The zero value is one without events.
+// Follower tracks one stream to a caller. The zero value is a stream without events.
 type Follower struct {
-	// position is that of the bytes of the stream that came, and before the number of events
-	// of the streams that this one goes on after.
-	position Position
-	before   int
-
-	// held is the begin of the event under way, and out what Take returned last.
-	held []byte
-	out  []byte
-	// isTorn tells that a part of the event under way was passed on.
-	isTorn bool
-	// continues tells that the stream goes on after one of which events were passed on,
-	// resumes that it does so or that its caller has events of an earlier answer.
+	// position is the parsing position in the received bytes, and eventsBefore the number of
+	// events received before the last restart.
+	position     Position
+	eventsBefore int
+
+	// buffered is the start of the incomplete event, and out the buffer for the result of
+	// Take.
+	buffered []byte
+	out      []byte
+	// isPartlyForwarded reports whether a part of the incomplete event was forwarded.
+	isPartlyForwarded bool
+	// continues reports whether the stream continues one of which events were forwarded;
+	// resumes is also true if the caller received events of an earlier answer.
 	continues, resumes bool
-	// isFirst tells that nothing of the stream was passed on since the last restart.
-	isFirst bool
-	// isSparse tells that the ids of the events did not go up by one each time.
+	// isAtStart reports whether there was a restart and nothing was forwarded since.
+	isAtStart bool
+	// isSparse reports whether the event ids did not always increase by one.
 	isSparse bool
 
-	// last is the event that was passed on last, count the number of them, and taken that of
-	// those that Take returned last.
+	// last is the last event returned by Take, count the number of forwarded events, and taken
+	// the number of events in the last result of Take.
 	last  Event
 	count int
 	taken int
-	// at is when the last of them was, and pause the longest time between two.
-	at    time.Time
-	pause time.Duration
+	// lastForwarded is when the last event was forwarded, and pause the longest time between two.
+	lastForwarded time.Time
+	pause         time.Duration
 }
 
-// mostHeld bounds what is held back of an event, in bytes. What is longer is passed on in
-// pieces.
-const mostHeld = 256 << 10
+// maxBuffered limits the buffered size of an incomplete event in bytes. Longer events are
+// forwarded in pieces.
+const maxBuffered = 256 << 10
 
-// PassedOn notes that what Take returned was passed on now.
+// PassedOn records that the last result of Take was forwarded at the time now.
 func (f *Follower) PassedOn(now time.Time) {
 	if f.taken == 0 {
 		return
 	}
-	if !f.at.IsZero() {
-		f.pause = max(f.pause, now.Sub(f.at))
+	if !f.lastForwarded.IsZero() {
+		f.pause = max(f.pause, now.Sub(f.lastForwarded))
 	}
-	f.at = now
+	f.lastForwarded = now
 	f.count += f.taken
 	f.taken = 0
 }
 
-// Count returns the number of events that were passed on.
+// Count returns the number of forwarded events.
 func (f *Follower) Count() int { return f.count }
 
-// Pause returns the longest time between two events that were passed on.
+// Pause returns the longest time between two forwarded events.
 func (f *Follower) Pause() time.Duration { return f.pause }
 
-// LastEvent returns the id of the last event that was passed on; empty if it has none.
+// LastEvent returns the id of the last forwarded event, or "" if it has none.
 func (f *Follower) LastEvent() string {
 	if !f.last.IsNamed {
 		return ""
@@ -76,65 +78,69 @@
 	return string(f.last.ID)
 }
 
-// ResumeAfter notes that the caller has the events up to that of the id, of an earlier answer.
+// ResumeAfter records that the caller received the events up to the given id from an earlier
+// answer.
 func (f *Follower) ResumeAfter(id string) {
 	f.last = Event{ID: []byte(id), IsNamed: id != ""}
 	f.resumes = isNumber(f.last.ID)
 }
 
-// Restart forgets what was held back: another server goes on after the last event.
+// Restart discards the buffered data, because another server continues after the last event.
 func (f *Follower) Restart() {
 	f.continues = f.count > 0
 	f.resumes = f.resumes || f.continues
-	f.isFirst = true
-	f.held, f.isTorn, f.taken = f.held[:0], false, 0
+	f.isAtStart = true
+	f.buffered, f.isPartlyForwarded, f.taken = f.buffered[:0], false, 0
 	f.position.restart()
-	f.before = f.position.Count()
+	f.eventsBefore = f.position.Count()
 }
 
-// Events returns the number of whole events that came since the last restart.
-func (f *Follower) Events() int { return f.position.Count() - f.before }
+// Events returns the number of complete events received since the last restart.
+func (f *Follower) Events() int { return f.position.Count() - f.eventsBefore }
 
-// IsInside reports whether what came ends inside an event.
+// IsInside reports whether the received data ends inside an event.
 func (f *Follower) IsInside() bool { return f.position.IsInside() }
 
-// Continues reports whether the stream goes on after one of which events were passed on.
+// Continues reports whether the stream continues one of which events were forwarded.
 func (f *Follower) Continues() bool { return f.continues }
 
-// CanGoOn reports whether another server can go on after what was passed on: after whole
-// events, the last of which has an id that says which ones come later.
+// CanGoOn reports whether another server can resume after the forwarded data: no part of an
+// incomplete event was forwarded, and the last event, if any, has a numeric id, by which later
+// events are recognised.
 func (f *Follower) CanGoOn() bool {
-	return !f.isTorn && (f.count == 0 || f.last.IsNamed && isNumber(f.last.ID))
+	return !f.isPartlyForwarded && (f.count == 0 || f.last.IsNamed && isNumber(f.last.ID))
 }
 
-// Rest returns what is held back.
-func (f *Follower) Rest() []byte { return f.held }
+// Rest returns the buffered start of an incomplete event.
+func (f *Follower) Rest() []byte { return f.buffered }
 
-// Take takes data of the stream and returns what of it, and of what was held back before, is
-// to be passed on: whole events. The result is valid until the next call. An error means that
-// an event, which is not among these, does not come after the last one that the caller has.
+// Take processes received data and returns the complete events, including buffered data, that
+// are to be forwarded. The result is valid until the next call. ErrNotContinued means that the
+// next event, which is not part of the result, does not follow the last one that the caller
+// received.
 func (f *Follower) Take(data []byte) ([]byte, error) {
 	safe, n := 0, 0
 	f.taken = 0
 	for n < len(data) {
-		size, isBetween, ended := f.position.next(data[n:])
+		size, isOutside, ended := f.position.next(data[n:])
 		n += size
-		if ended && !f.isNext() {
+		if ended && !f.mayFollow() {
 			out, _ := f.split(data[:safe], safe)
 			return out, ErrNotContinued
 		}
 		if ended {
-			f.ended()
+			f.recordEvent()
 		}
-		if isBetween {
+		if isOutside {
 			safe = n
 		}
 	}
 	return f.split(data, safe)
 }
 
-// isNext reports whether the event that ended may follow the last one that the caller has.
-func (f *Follower) isNext() bool {
+// mayFollow reports whether the event that was just completed may follow the last one that the
+// caller received.
+func (f *Follower) mayFollow() bool {
 	switch event := f.position.last; {
 	case !f.resumes:
 		return true
@@ -143,18 +149,19 @@
 	case !isNumber(event.ID) || !isGreater(event.ID, f.last.ID):
 		return false
 	default:
-		return !f.isJoint() || isSuccessor(event.ID, f.last.ID)
+		return !f.isFirstContinued() || isSuccessor(event.ID, f.last.ID)
 	}
 }
 
-// isJoint reports whether the event that ended is the first of a continuation, of a stream
-// whose ids went up by one each time: a greater step leaves events out.
-func (f *Follower) isJoint() bool {
+// isFirstContinued reports whether the event that was just completed is the first after a
+// restart, in a stream whose ids always increased by one. A larger step then means that events
+// are missing.
+func (f *Follower) isFirstContinued() bool {
 	return f.continues && !f.isSparse && f.count > 1 && f.Events() == 1
 }
 
-// ended notes that an event ended.
-func (f *Follower) ended() {
+// recordEvent records the completion of an event.
+func (f *Follower) recordEvent() {
 	if !f.isSparse && f.count+f.taken > 0 {
 		f.isSparse = !isSuccessor(f.position.last.ID, f.last.ID)
 	}
@@ -163,38 +170,38 @@
 	f.last.IsNamed = f.position.last.IsNamed
 }
 
-// split returns what is held back together with the data up to safe, and holds back the rest.
+// split returns the buffered data together with the data up to safe, and buffers the rest.
 func (f *Follower) split(data []byte, safe int) ([]byte, error) {
 	if safe == 0 {
-		return f.hold(data)
+		return f.buffer(data)
 	}
-	f.isTorn = false
+	f.isPartlyForwarded = false
 	out := data[:safe]
-	if len(f.held) > 0 {
-		f.out = append(append(f.out[:0], f.held...), out...)
+	if len(f.buffered) > 0 {
+		f.out = append(append(f.out[:0], f.buffered...), out...)
 		out = f.out
 	}
-	if f.continues && f.isFirst {
-		// A byte order mark has its place at the begin of what the caller gets only.
+	if f.continues && f.isAtStart {
+		// A byte order mark is valid only at the very start of the caller's stream.
 		out = bytes.TrimPrefix(out, byteOrderMark)
 	}
-	f.isFirst = false
-	f.held = append(f.held[:0], data[safe:]...)
+	f.isAtStart = false
+	f.buffered = append(f.buffered[:0], data[safe:]...)
 	return out, nil
 }
 
-// hold holds the data back, unless the event is too long for that. One that has to come after
-// others is not passed on before its id is known.
-func (f *Follower) hold(data []byte) ([]byte, error) {
-	f.held = append(f.held, data...)
-	if !f.isTorn && len(f.held) <= mostHeld {
+// buffer buffers the data. If the event is too long to be buffered, buffer returns it for
+// forwarding, except in a continued stream, where the id must be checked first.
+func (f *Follower) buffer(data []byte) ([]byte, error) {
+	f.buffered = append(f.buffered, data...)
+	if !f.isPartlyForwarded && len(f.buffered) <= maxBuffered {
 		return nil, nil
 	}
 	if f.continues {
 		return nil, ErrNotContinued
 	}
-	f.isTorn = true
-	f.out = append(f.out[:0], f.held...)
-	f.held = f.held[:0]
+	f.isPartlyForwarded = true
+	f.out = append(f.out[:0], f.buffered...)
+	f.buffered = f.buffered[:0]
 	return f.out, nil
 }
--- a/state/eventstream/fuzz_test.go
+++ b/state/eventstream/fuzz_test.go
@@ -8,21 +8,22 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// seen is what a stream holds, by the slow reader.
-type seen struct {
+// referenceResult is the content of a stream according to the reference parser.
+type referenceResult struct {
 	events int
-	// id of the last event, named: it has one that may be resumed after.
+	// id is the id of the last event; named reports whether the stream may be resumed after it.
 	id    string
 	named bool
-	// safe is how far no event is under way, inside: the text ends inside one.
+	// safe is the end of the last line after which no event is incomplete; inside reports
+	// whether the text ends inside an event.
 	safe   int
 	inside bool
 }
 
-// readSlowly reads the whole text by the letter of the standard: it decides line by line, and
-// knows nothing of pieces.
-func readSlowly(text string) seen {
-	var s seen
+// parseReference is the reference parser: it parses the whole text line by line as the standard
+// defines it, without support for chunks.
+func parseReference(text string) referenceResult {
+	var s referenceResult
 	fields, id, named := 0, "", false
 	at := 0
 	if strings.HasPrefix(text, "\uFEFF") {
@@ -47,7 +48,7 @@
 			fields++
 			if name == "id" && !strings.Contains(value, "\x00") {
 				id = strings.TrimPrefix(value, " ")
-				named = id != "" && len(line) <= lineKept
+				named = id != "" && len(line) <= maxLineBuffered
 			}
 		}
 		if fields == 0 {
@@ -56,7 +57,7 @@
 	}
 }
 
-// firstLine returns the first line of the text and its size with its end.
+// firstLine returns the first line of the text and its size including the line ending.
 func firstLine(text string) (line string, size int, whole bool) {
 	for i, b := range []byte(text) {
 		switch {
@@ -71,30 +72,30 @@
 	return text, len(text), false
 }
 
-// Whatever a server sends, in whatever pieces: the follower counts, names and cuts the events as
-// a reader of the whole text does.
+// For any data in any chunks, the follower finds the same events, ids and event boundaries as
+// the reference parser does in the whole text.
 func FuzzPieces(f *testing.F) {
 	for _, text := range []string{
 		"", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 1\r\ndata: a\r\n\r\nid: 2\r", ":c\r\rid:1\r\rdata", "\uFEFFid: 1\n\n", "\uFEFF", "id\n\nid:\n\nid: \x00\n\n",
-		"data: a\n: comment\n\n\n\n:\n", "\r\n\r\n\n\r", "id: " + strings.Repeat("9", lineKept) + "\n\n", "\uFEFF\uFEFFid: 1\n\n", "\xef\xbb", "id: 3\n\nid: 4\n\r\n",
+		"data: a\n: comment\n\n\n\n:\n", "\r\n\r\n\n\r", "id: " + strings.Repeat("9", maxLineBuffered) + "\n\n", "\uFEFF\uFEFFid: 1\n\n", "\xef\xbb", "id: 3\n\nid: 4\n\r\n",
 	} {
 		f.Add([]byte(text), []byte{1, 1, 2, 1, 1, 3, 1, 1, 1, 1})
 		f.Add([]byte(text), []byte{200})
 	}
-	f.Fuzz(func(t *testing.T, text, cuts []byte) {
+	f.Fuzz(func(t *testing.T, text, chunkSizes []byte) {
 		var follower Follower
-		var passed []byte
+		var forwarded []byte
 		for rest := text; len(rest) > 0; {
 			n := len(rest)
-			if len(cuts) > 0 {
-				n, cuts = min(int(cuts[0])+1, n), cuts[1:]
+			if len(chunkSizes) > 0 {
+				n, chunkSizes = min(int(chunkSizes[0])+1, n), chunkSizes[1:]
 			}
 			out, err := follower.Take(rest[:n])
 			qt.Assert(t, err, qt.IsNil)
-			passed = append(passed, out...)
+			forwarded = append(forwarded, out...)
 			rest = rest[n:]
 		}
-		want := readSlowly(string(text))
+		want := parseReference(string(text))
 		last := follower.last
 		comment := qt.Commentf("%q", text)
 		qt.Check(t, follower.Events(), qt.Equals, want.events, comment)
@@ -103,12 +104,12 @@
 			qt.Check(t, string(last.ID), qt.Equals, want.id, comment)
 		}
 		qt.Check(t, follower.IsInside(), qt.Equals, want.inside, comment)
-		if len(text) < mostHeld {
-			qt.Check(t, bytes.Equal(append(passed, follower.Rest()...), text), qt.IsTrue, comment)
-			// A line end of two bytes may be passed on in two pieces.
-			atMost := bytes.HasSuffix(text[:want.safe], []byte("\r\n"))
-			isSafe := len(passed) == want.safe || atMost && len(passed) == want.safe-1
-			qt.Check(t, isSafe || want.safe == len("\uFEFF"), qt.IsTrue, qt.Commentf("%q: passed %d, safe %d", text, len(passed), want.safe))
+		if len(text) < maxBuffered {
+			qt.Check(t, bytes.Equal(append(forwarded, follower.Rest()...), text), qt.IsTrue, comment)
+			// A CRLF line ending may be forwarded in two pieces.
+			endsWithCRLF := bytes.HasSuffix(text[:want.safe], []byte("\r\n"))
+			isSafe := len(forwarded) == want.safe || endsWithCRLF && len(forwarded) == want.safe-1
+			qt.Check(t, isSafe || want.safe == len("\uFEFF"), qt.IsTrue, qt.Commentf("%q: forwarded %d, safe %d", text, len(forwarded), want.safe))
 		}
 	})
 }
--- a/state/eventstream/ids.go
+++ b/state/eventstream/ids.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// isNumber reports whether the id is a decimal number. Others cannot be told apart by order.
+// isNumber reports whether the id is a decimal number. Other ids have no defined order.
 func isNumber(id []byte) bool {
 	for _, digit := range id {
 		if digit < '0' || digit > '9' {
@@ -15,7 +15,7 @@
 	return len(id) > 0
 }
 
-// isGreater reports whether the number a is greater than b, of any length.
+// isGreater reports whether a is greater than b, for decimal numbers of any length.
 func isGreater(a, b []byte) bool {
 	a, b = bytes.TrimLeft(a, "0"), bytes.TrimLeft(b, "0")
 	if len(a) != len(b) {
@@ -24,8 +24,7 @@
 	return bytes.Compare(a, b) > 0
 }
 
-// isSuccessor reports whether the number a is by one greater than b. Numbers beyond 64 bits
-// have none.
+// isSuccessor reports whether a equals b+1. It returns false for numbers that exceed 64 bits.
 func isSuccessor(a, b []byte) bool {
 	next, err := strconv.ParseUint(string(a), 10, 64)
 	if err != nil {
--- a/state/eventstream/position.go
+++ b/state/eventstream/position.go
@@ -2,50 +2,51 @@
 
 import "bytes"
 
-// lineKept bounds what is kept of a line that comes in pieces, in bytes. An id in a longer
-// line cannot be resumed after.
-const lineKept = 512
+// maxLineBuffered limits the buffered size of a line that arrives in pieces, in bytes. A stream
+// cannot be resumed after an id in a longer line.
+const maxLineBuffered = 512
 
 var (
-	// byteOrderMark may begin a stream and belongs to no line.
+	// byteOrderMark may start a stream and is not part of the first line.
 	byteOrderMark = []byte("\uFEFF")
-	// idName is the name of the field that holds an event's id.
+	// idName is the name of the field that contains an event's id.
 	idName = []byte("id")
 )
 
-// Position tells how far the bytes of a stream have come in its events, by the line ends,
-// comments and fields of the standard (WHATWG HTML, server-sent events). The zero value is
-// the begin of a stream.
+// Position is an incremental parser that tracks the position in an event stream by the line
+// endings, comments and fields of the standard (WHATWG HTML, server-sent events). The zero
+// value is the start of a stream.
 type Position struct {
-	// line is the begin of the line under way, and size all of it, in bytes.
+	// line is the buffered start of the current line, and size its total size so far in bytes.
 	line []byte
 	size int
-	// afterReturn tells that the last line ended with CR: a LF right after belongs to it.
+	// afterReturn reports whether the last line ended with CR; an LF that follows directly is
+	// part of that line ending.
 	afterReturn bool
-	// begun tells that the first line has ended.
-	begun bool
-	// fields is the number of fields of the event under way.
+	// firstLineEnded reports whether the first line has ended.
+	firstLineEnded bool
+	// fields is the number of fields of the current event.
 	fields int
-	// id is that of the event under way, isNamed tells that it has one.
+	// id is the id of the current event; isNamed reports whether it has one.
 	id      []byte
 	isNamed bool
-	// last is the event that ended last.
+	// last is the last complete event.
 	last  Event
 	count int
 }
 
-// Event is one whole event.
+// Event is a complete event.
 type Event struct {
-	// ID is the value of its id field. It is valid until the position moves on.
+	// ID is the value of its id field. It is valid until the position advances.
 	ID []byte
-	// IsNamed tells that it has an id that may be resumed after.
+	// IsNamed reports whether it has an id after which the stream may be resumed.
 	IsNamed bool
 }
 
-// Count returns the number of whole events so far.
+// Count returns the number of complete events so far.
 func (p *Position) Count() int { return p.count }
 
-// Last returns the event that ended last.
+// Last returns the last complete event.
 func (p *Position) Last() Event { return p.last }
 
 // IsInside reports whether the bytes so far end inside an event, or inside a line.
@@ -53,19 +54,19 @@
 	if p.fields > 0 {
 		return true
 	}
-	if p.begun {
+	if p.firstLineEnded {
 		return p.size > 0
 	}
 	return p.size > 0 && !bytes.Equal(p.line, byteOrderMark)
 }
 
-// restart puts the position at the begin of another stream that goes on after this one.
+// restart resets the position to the start of another stream that continues this one.
 func (p *Position) restart() {
-	p.line, p.size, p.afterReturn, p.begun = p.line[:0], 0, false, false
+	p.line, p.size, p.afterReturn, p.firstLineEnded = p.line[:0], 0, false, false
 	p.fields, p.id, p.isNamed = 0, p.id[:0], false
 }
 
-// Advance moves over all of the data.
+// Advance processes all of the data.
 func (p *Position) Advance(data []byte) {
 	for len(data) > 0 {
 		n, _, _ := p.next(data)
@@ -73,10 +74,10 @@
 	}
 }
 
-// next moves over the data up to the end of a line after which no event is under way, and
-// returns how far that is, whether there is such an end, and whether an event ended there.
-// The data must not be empty.
-func (p *Position) next(data []byte) (n int, isBetween, ended bool) {
+// next processes the data up to the end of the first line that is outside any event. It
+// returns the number of bytes processed, whether there is such a line end, and whether it
+// completed an event. The data must not be empty.
+func (p *Position) next(data []byte) (n int, isOutside, ended bool) {
 	if p.afterReturn {
 		p.afterReturn = false
 		if data[0] == '\n' {
@@ -85,20 +86,20 @@
 	}
 	for n < len(data) {
 		end, found := lineEnd(data[n:])
-		line := p.take(data[n:n+end], found)
+		line := p.appendLine(data[n:n+end], found)
 		n += end
 		if !found {
 			return n, false, false
 		}
-		n += p.skipEnd(data[n:])
-		if isBetween, ended = p.endLine(line); isBetween {
+		n += p.skipLineEnd(data[n:])
+		if isOutside, ended = p.endLine(line); isOutside {
 			return n, true, ended
 		}
 	}
 	return n, false, false
 }
 
-// lineEnd returns where the line ends, or all of the data.
+// lineEnd returns the index of the line ending, or the length of the data.
 func lineEnd(data []byte) (at int, found bool) {
 	at = bytes.IndexByte(data, '\n')
 	found = at >= 0
@@ -111,8 +112,9 @@
 	return at, found
 }
 
-// skipEnd returns the length of the line end that the data begins with.
-func (p *Position) skipEnd(data []byte) int {
+// skipLineEnd returns the length of the line ending at the start of the data. It sets
+// afterReturn if the data ends with CR, since an LF may follow in the next call.
+func (p *Position) skipLineEnd(data []byte) int {
 	if data[0] == '\n' {
 		return 1
 	}
@@ -126,9 +128,9 @@
 	return 1
 }
 
-// take adds to the line under way and returns it, as far as it is kept. A line that comes
-// whole is not copied.
-func (p *Position) take(part []byte, isWhole bool) []byte {
+// appendLine appends to the current line and returns its buffered part. A line that arrives
+// complete is not copied.
+func (p *Position) appendLine(part []byte, isWhole bool) []byte {
 	if p.size == 0 {
 		if isWhole {
 			p.size = len(part)
@@ -137,18 +139,18 @@
 		p.line = p.line[:0]
 	}
 	p.size += len(part)
-	p.line = append(p.line, part[:min(len(part), lineKept-len(p.line))]...)
+	p.line = append(p.line, part[:min(len(part), maxLineBuffered-len(p.line))]...)
 	return p.line
 }
 
-// endLine ends the line under way, and reports whether no event is under way after it and
-// whether one ended with it.
-func (p *Position) endLine(line []byte) (isBetween, ended bool) {
-	isLong := p.size > lineKept
-	if !p.begun {
+// endLine ends the current line. It reports whether no event is incomplete after the line, and
+// whether the line completed an event.
+func (p *Position) endLine(line []byte) (isOutside, ended bool) {
+	isLong := p.size > maxLineBuffered
+	if !p.firstLineEnded {
 		line = bytes.TrimPrefix(line, byteOrderMark)
 	}
-	p.begun, p.size = true, 0
+	p.firstLineEnded, p.size = true, 0
 	switch {
 	case len(line) == 0:
 		return true, p.endEvent()
@@ -171,7 +173,7 @@
 	return true
 }
 
-// field takes a field of the event under way.
+// field processes a field of the current event.
 func (p *Position) field(line []byte, isLong bool) {
 	p.fields++
 	name, value, _ := bytes.Cut(line, []byte(":"))
--- a/state/eventstream/position_test.go
+++ b/state/eventstream/position_test.go
@@ -7,8 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Where a stream stands after its bytes, by the standard's line ends, comments and fields.
-func TestWhereAStreamStands(t *testing.T) {
+// Checks events, last id and position for the line endings, comments and fields of the
+// standard, with the stream split at every byte.
+func TestPositionFollowsTheStandard(t *testing.T) {
 	for _, tc := range []struct {
 		stream string
 		events int
@@ -41,7 +42,7 @@
 		{" id: 1\n\n", 1, "", false},
 		{"data: id: 9\n\n", 1, "", false},
 		{"id: 1\nid: 2\n\n", 1, "2", false},
-		{"id: " + strings.Repeat("7", 2*lineKept) + "\n\n", 1, "", false},
+		{"id: " + strings.Repeat("7", 2*maxLineBuffered) + "\n\n", 1, "", false},
 	} {
 		for cut := range len(tc.stream) + 1 {
 			var f Follower
