--- a/state/ledger/ledger.go
+++ b/state/ledger/ledger.go
@@ -1,9 +1,10 @@
-// Package ledger keeps the service counters of one pool: what this process
-// gave each team, and what other writers say they gave.
+// Package ledger maintains the service counters of one pool: the service that
+// this process gave each team, and the service reported by other writers.
 //
-// A counter has one writer and never falls within one incarnation of that
-// writer, so merging is a maximum per writer and incarnation; it may be
-// repeated, reordered or lost. coordination/share calls it.
+// A counter has one writer and never decreases within one incarnation of that
+// writer. Merging therefore takes the maximum per writer and incarnation, and
+// tolerates updates that are repeated, reordered or lost. coordination/share uses
+// it.
 package ledger
 
 import (
@@ -14,20 +15,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config holds the identity of the writer and the bounds of the table.
+// Config contains the identity of the writer and the limits of the table.
 type Config struct {
 	// Writer is the name of this process in its own counters. No default.
 	Writer string
-	// Incarnation tells this run of the writer from earlier ones. No default.
+	// Incarnation identifies this process lifetime of the writer. No default.
 	Incarnation string
-	// MaxRemotes bounds the counters of other writers, in counters. Default
+	// MaxRemotes limits the number of counters of other writers. Default
 	// 65536.
 	MaxRemotes int
-	// MaxTeams bounds the teams that are learnt from other writers. Default
-	// 16384.
+	// MaxTeams limits the number of teams: updates of other writers add no teams
+	// beyond it. Default 16384.
 	MaxTeams int
-	// StaleAfter is how long a counter of another writer is extrapolated
-	// without news. Default 30s.
+	// StaleAfter is how long a counter of another writer is extrapolated without
+	// an update. Default 30s.
 	StaleAfter time.Duration
 }
 
@@ -51,53 +52,55 @@
 	return err
 }
 
-// Counter is the service that one writer gave one team.
+// Counter is the cumulative service that one writer gave one team.
 type Counter struct {
 	Writer      string
 	Incarnation string
 	Team        string
-	// Served is the cost given since the incarnation began, in cost units.
+	// Served is the cost served since the incarnation started, in cost units.
 	Served float64
 }
 
-// News says what a merged counter changed.
+// News is the effect of merging a counter.
 type News int
 
 // Kinds of News.
 const (
-	// Nothing: an old, repeated or own counter.
+	// Nothing means that the counter was ignored: it is outdated, invalid, a
+	// writer's own, or beyond MaxTeams.
 	Nothing News = iota
-	// First: the first word of a writer, or of a new incarnation, on a team.
+	// First means the first update of a writer, or of its new incarnation, for a
+	// team.
 	First
-	// Fresh: the next word of a writer that is extrapolated.
+	// Fresh means an update of a writer that is being extrapolated.
 	Fresh
-	// Late: a word after the writer was no longer extrapolated.
+	// Late means an update of a writer that was no longer extrapolated.
 	Late
 )
 
-// team is what is known of one team.
+// team is the state of one team.
 type team struct {
 	own     float64
 	remotes map[string]*remote
-	// known is the cost that other writers gave after their first word.
-	known float64
-	// fresh counts the extrapolated writers; ownAt sums the own counter at
-	// the time of their last words.
-	fresh int
-	ownAt float64
+	// othersCost is the cost that other writers served after their first update.
+	othersCost float64
+	// extrapolated is the number of extrapolated writers; ownAtUpdates is the
+	// sum, over these writers, of the own counter at their last update.
+	extrapolated int
+	ownAtUpdates float64
 }
 
-// remote is the last word of another writer on one team.
+// remote is the last update of another writer for one team.
 type remote struct {
-	incarnation string
-	retired     string
-	served      float64
-	ownAt       float64
-	heard       time.Time
-	fresh       bool
+	incarnation         string
+	previousIncarnation string
+	served              float64
+	ownAtUpdate         float64
+	updatedAt           time.Time
+	isExtrapolated      bool
 }
 
-// Ledger is the table. It must be used by one goroutine at a time.
+// Ledger is the table of counters. It is not safe for concurrent use.
 type Ledger struct {
 	cfg     Config
 	teams   map[string]*team
@@ -118,7 +121,7 @@
 	return t
 }
 
-// Add charges cost that this process gave the team; it must not be negative.
+// Add adds cost that this process served the team; it must not be negative.
 func (l *Ledger) Add(name string, cost float64) { l.team(name).own += cost }
 
 // Own returns the team's own counter.
@@ -129,18 +132,18 @@
 	return 0
 }
 
-// Others returns what other writers gave the team since their first word, each
-// extrapolated from its last word by what this process gave since, and the
-// number of writers so extrapolated.
-func (l *Ledger) Others(name string) (cost float64, fresh int) {
+// Others returns the cost that other writers served the team since their first
+// update, and the number of extrapolated writers. A writer is extrapolated from
+// its last update by the cost that this process has served since then.
+func (l *Ledger) Others(name string) (cost float64, extrapolated int) {
 	t := l.teams[name]
 	if t == nil {
 		return 0, 0
 	}
-	return t.known + float64(t.fresh)*t.own - t.ownAt, t.fresh
+	return t.othersCost + float64(t.extrapolated)*t.own - t.ownAtUpdates, t.extrapolated
 }
 
-// Tellers returns the number of other writers that told of the team.
+// Tellers returns the number of other writers that reported a counter of the team.
 func (l *Ledger) Tellers(name string) int {
 	if t := l.teams[name]; t != nil {
 		return len(t.remotes)
@@ -148,7 +151,7 @@
 	return 0
 }
 
-// Merge takes in one counter that was heard at the time now.
+// Merge merges a counter that was received at the time now.
 func (l *Ledger) Merge(now time.Time, c Counter) News {
 	if c.Writer == l.cfg.Writer || c.Team == "" || !(c.Served >= 0) || math.IsInf(c.Served, 1) {
 		return Nothing
@@ -160,71 +163,73 @@
 	r := t.remotes[c.Writer]
 	switch {
 	case r == nil:
-		l.makeRoom()
+		l.evictOldest()
 		r = &remote{incarnation: c.Incarnation, served: c.Served}
 		t.remotes[c.Writer] = r
 		l.remotes++
 		t.refresh(r, now)
 		return First
-	case r.retired == c.Incarnation:
+	case r.previousIncarnation == c.Incarnation:
 		return Nothing
 	case r.incarnation != c.Incarnation:
-		t.settleAsPresumed(r)
-		r.retired, r.incarnation, r.served = r.incarnation, c.Incarnation, c.Served
+		t.settleExtrapolated(r)
+		r.previousIncarnation, r.incarnation, r.served = r.incarnation, c.Incarnation, c.Served
 		t.refresh(r, now)
 		return First
 	case c.Served < r.served:
 		return Nothing
 	}
-	news := Late
-	if r.fresh {
-		news = Fresh
+	effect := Late
+	if r.isExtrapolated {
+		effect = Fresh
 	}
-	t.known += c.Served - r.served
+	t.othersCost += c.Served - r.served
 	r.served = c.Served
 	t.refresh(r, now)
-	return news
+	return effect
 }
 
-// refresh makes now the time of the writer's last word.
+// refresh restarts the extrapolation of the writer from an update received now.
 func (t *team) refresh(r *remote, now time.Time) {
-	t.stop(r)
-	r.fresh, r.ownAt, r.heard = true, t.own, now
-	t.fresh++
-	t.ownAt += r.ownAt
+	t.stopExtrapolation(r)
+	r.isExtrapolated, r.ownAtUpdate, r.updatedAt = true, t.own, now
+	t.extrapolated++
+	t.ownAtUpdates += r.ownAtUpdate
 }
 
-// stop ends the extrapolation of the writer.
-func (t *team) stop(r *remote) {
-	if r.fresh {
-		r.fresh = false
-		t.fresh--
-		t.ownAt -= r.ownAt
+// stopExtrapolation stops the extrapolation of the writer.
+func (t *team) stopExtrapolation(r *remote) {
+	if r.isExtrapolated {
+		r.isExtrapolated = false
+		t.extrapolated--
+		t.ownAtUpdates -= r.ownAtUpdate
 	}
 }
 
-// settleAsPresumed counts the extrapolated cost as given, since the writer's
-// old incarnation cannot tell any more.
-func (t *team) settleAsPresumed(r *remote) {
-	if r.fresh {
-		t.known += t.own - r.ownAt
+// settleExtrapolated counts the extrapolated cost as served, since the writer's
+// previous incarnation can no longer report it.
+func (t *team) settleExtrapolated(r *remote) {
+	if r.isExtrapolated {
+		t.othersCost += t.own - r.ownAtUpdate
 	}
-	t.stop(r)
+	t.stopExtrapolation(r)
 }
 
-// forgetFactor is after how many times StaleAfter a silent writer is dropped.
-const forgetFactor = 10
+// removalFactor is the multiple of StaleAfter after which a writer without updates
+// is removed.
+const removalFactor = 10
 
-// Expire stops the extrapolation of writers without news for StaleAfter, and
-// drops those that were silent for much longer. What they gave stays counted.
+// Expire stops the extrapolation of writers without updates for StaleAfter, and
+// removes those without updates for removalFactor times as long. The cost that they
+// served stays counted.
 func (l *Ledger) Expire(now time.Time) {
 	for _, t := range l.teams {
 		for writer, r := range t.remotes {
-			silent := now.Sub(r.heard)
-			if r.fresh && silent > l.cfg.StaleAfter {
-				t.stop(r)
+			age := now.Sub(r.updatedAt)
+			if r.isExtrapolated && age > l.cfg.StaleAfter {
+				t.stopExtrapolation(r)
 			}
-			if silent > forgetFactor*l.cfg.StaleAfter {
+			if age > removalFactor*l.cfg.StaleAfter {
 				delete(t.remotes, writer)
 				l.remotes--
 			}
@@ -232,9 +237,9 @@
 	}
 }
 
-// makeRoom drops the counter that was heard longest ago when the table is
-// full. What it added stays counted; its next word counts as its first.
-func (l *Ledger) makeRoom() {
+// evictOldest evicts the least recently updated counter when the table is full. Its
+// cost stays counted; the writer's next update is treated as its first.
+func (l *Ledger) evictOldest() {
 	if l.remotes < l.cfg.MaxRemotes {
 		return
 	}
@@ -243,12 +248,12 @@
 	var oldest *remote
 	for _, t := range l.teams {
 		for w, r := range t.remotes {
-			if oldest == nil || r.heard.Before(oldest.heard) {
+			if oldest == nil || r.updatedAt.Before(oldest.updatedAt) {
 				from, writer, oldest = t, w, r
 			}
 		}
 	}
-	from.stop(oldest)
+	from.stopExtrapolation(oldest)
 	delete(from.remotes, writer)
 	l.remotes--
 }
@@ -258,8 +263,8 @@
 	return Counter{Writer: l.cfg.Writer, Incarnation: l.cfg.Incarnation, Team: name, Served: l.Own(name)}
 }
 
-// All returns every counter that is known, sorted by team and writer, own ones
-// first.
+// All returns all counters, sorted by team and writer; for each team the own
+// counter comes first.
 func (l *Ledger) All() []Counter {
 	names := make([]string, 0, len(l.teams))
 	for name := range l.teams {
--- a/state/ledger/ledger_test.go
+++ b/state/ledger/ledger_test.go
@@ -21,18 +21,18 @@
 	return cost
 }
 
-func TestOthersArePresumedAlikeBetweenWords(t *testing.T) {
+func TestOtherWritersAreExtrapolatedBetweenUpdates(t *testing.T) {
 	c := qt.New(t)
 	l := newLedger("self")
 	c.Assert(l.Merge(t0, Counter{"b", "1", "team", 500}), qt.Equals, First)
-	c.Assert(others(l, "team"), qt.Equals, 0.0, qt.Commentf("the first word is the base"))
+	c.Assert(others(l, "team"), qt.Equals, 0.0, qt.Commentf("the first update is the baseline"))
 	l.Add("team", 10)
 	c.Assert(others(l, "team"), qt.Equals, 10.0)
 	c.Assert(l.Merge(t0, Counter{"b", "1", "team", 504}), qt.Equals, Fresh)
-	c.Assert(others(l, "team"), qt.Equals, 4.0, qt.Commentf("the word replaces the presumption"))
+	c.Assert(others(l, "team"), qt.Equals, 4.0, qt.Commentf("the update replaces the extrapolated cost"))
 }
 
-func TestStaleWriterIsNoLongerPresumed(t *testing.T) {
+func TestStaleWriterIsNotExtrapolated(t *testing.T) {
 	c := qt.New(t)
 	l := newLedger("self")
 	l.Merge(t0, Counter{"b", "1", "team", 0})
@@ -43,7 +43,7 @@
 	c.Assert(others(l, "team"), qt.Equals, 70.0)
 }
 
-func TestWriterSilentForLongIsDropped(t *testing.T) {
+func TestWriterWithoutUpdatesIsRemoved(t *testing.T) {
 	c := qt.New(t)
 	l := newLedger("self")
 	l.Merge(t0, Counter{"b", "1", "team", 0})
@@ -55,7 +55,7 @@
 	c.Assert(others(l, "team"), qt.Equals, 5.0)
 }
 
-func TestNewIncarnationGoesOnWithoutJump(t *testing.T) {
+func TestNewIncarnationKeepsTheSum(t *testing.T) {
 	c := qt.New(t)
 	l := newLedger("self")
 	l.Merge(t0, Counter{"b", "1", "team", 100})
@@ -80,7 +80,7 @@
 	c.Assert(len(l.All()), qt.Equals, 4)
 }
 
-func TestOwnAndBrokenCountersAreIgnored(t *testing.T) {
+func TestOwnAndInvalidCountersAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	l := newLedger("self")
 	c.Assert(l.Merge(t0, Counter{"self", "0", "team", 9}), qt.Equals, Nothing)
@@ -88,20 +88,20 @@
 	c.Assert(l.Merge(t0, Counter{"b", "1", "", 1}), qt.Equals, Nothing)
 }
 
-// The words of one incarnation may come repeated and in any order: the sum
-// counted is the largest less the base.
+// The updates of one incarnation may arrive repeatedly and in any order; the cost
+// counted is the largest one minus the baseline.
 func TestMergeIsAMaximum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLedger("self")
 		l.Merge(t0, Counter{"b", "1", "team", 0})
-		words := rapid.SliceOfN(rapid.Float64Range(0, 1e6), 1, 40).Draw(t, "words")
-		most := 0.0
-		for _, w := range words {
-			l.Merge(t0, Counter{"b", "1", "team", w})
-			most = max(most, w)
+		updates := rapid.SliceOfN(rapid.Float64Range(0, 1e6), 1, 40).Draw(t, "updates")
+		largest := 0.0
+		for _, served := range updates {
+			l.Merge(t0, Counter{"b", "1", "team", served})
+			largest = max(largest, served)
 		}
-		if got := others(l, "team"); got < most-1e-6 || got > most+1e-6 {
-			t.Fatalf("counted %v, want %v", got, most)
+		if got := others(l, "team"); got < largest-1e-6 || got > largest+1e-6 {
+			t.Fatalf("counted %v, want %v", got, largest)
 		}
 	})
 }
