--- a/state/routing/engine_test.go
+++ b/state/routing/engine_test.go
@@ -7,18 +7,17 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Hand-computed: 370,000 Mbit/s are 46.25 MB in a millisecond, and a token of
-// 18,432 bytes is one of 2,509 in it. Without either figure nothing is passed on.
-func TestFetchRateIsTokensInAMillisecond(t *testing.T) {
+// Expected value: 370,000 Mbit/s are 46.25 MB per millisecond, which is 2,509
+// tokens of 18,432 bytes. The rate is 0 if either figure is missing.
+func TestFetchRateIsTokensPerMillisecond(t *testing.T) {
 	rate := Engine{TokenBytes: 18432, LinkMbps: 370000}.FetchRate()
 	qt.Check(t, rate > 2509 && rate < 2510, qt.IsTrue, qt.Commentf("%v", rate))
 	qt.Check(t, Engine{TokenBytes: 18432}.FetchRate(), qt.Equals, 0.0)
 	qt.Check(t, Engine{LinkMbps: 370000}.FetchRate(), qt.Equals, 0.0)
 }
 
-// Only routes that may go to the service count, and those without an objective
-// do not.
-func TestTheShortestObjectiveIsThatOfTheServicesRoutes(t *testing.T) {
+// Only routes that have the service as a target and define an objective count.
+func TestShortestObjectiveIsTakenFromRoutesToTheService(t *testing.T) {
 	to := func(services ...string) (out []Target) {
 		for _, name := range services {
 			out = append(out, Target{Service: name, Weight: 1})
--- a/state/routing/table.go
+++ b/state/routing/table.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Table answers from one configuration. It is safe for concurrent use.
+// Table is an index of one configuration. It is safe for concurrent use.
 type Table struct {
 	config   *Config
 	hosts    map[string][]*Route
@@ -41,25 +41,25 @@
 	return t
 }
 
-// Version of the configuration.
+// Version returns the version of the configuration.
 func (t *Table) Version() uint64 { return t.config.Version }
 
-// Limits of the configuration.
+// Limits returns the limits of the configuration.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
 // Services returns the services of the configuration.
 func (t *Table) Services() []Service { return t.config.Services }
 
-// Service returns the service, or nil.
+// Service returns the service with the name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Team returns the team that holds the key, or nil.
+// Team returns the team to which the key belongs, or nil.
 func (t *Table) Team(key string) *Team { return t.teams[key] }
 
 // Teams returns the number of teams.
 func (t *Table) Teams() int { return len(t.config.Teams) }
 
-// Route returns the route of the host with the longest prefix of the path, or
+// Route returns the route of the host with the longest matching path prefix, or
 // nil. A port in the host is ignored.
 func (t *Table) Route(host, path string) *Route {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
@@ -71,19 +71,19 @@
 	return nil
 }
 
-// Pick returns the service for a point in [0, 1) of the route's weights, or ""
-// when it has no target.
+// Pick selects a service by the route's weights for a point in [0, 1). It returns
+// "" if the route has no target.
 func (r *Route) Pick(point float64) string {
 	var total float64
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
-	left := point * total
+	remaining := point * total
 	for _, t := range r.Targets {
-		if left < t.Weight {
+		if remaining < t.Weight {
 			return t.Service
 		}
-		left -= t.Weight
+		remaining -= t.Weight
 	}
 	if len(r.Targets) == 0 {
 		return ""
--- a/state/routing/table_test.go
+++ b/state/routing/table_test.go
@@ -20,7 +20,7 @@
 	})
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestRouteWithLongestPrefixOfTheHostIsSelected(t *testing.T) {
 	table := example()
 	for _, tc := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "deep"},
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestKeysNameTheirTeam(t *testing.T) {
+func TestTeamIsFoundByItsKeys(t *testing.T) {
 	table := example()
 	qt.Check(t, table.Team("k2").Name, qt.Equals, "t1")
 	qt.Check(t, table.Team("k3").Name, qt.Equals, "t2")
@@ -47,7 +47,7 @@
 	qt.Check(t, table.Team("t1"), qt.IsNil)
 }
 
-func TestSplitFollowsTheWeights(t *testing.T) {
+func TestPickFollowsTheWeights(t *testing.T) {
 	r := Route{Targets: []Target{{"a", 90}, {"b", 10}}}
 	qt.Check(t, r.Pick(0), qt.Equals, "a")
 	qt.Check(t, r.Pick(0.899), qt.Equals, "a")
@@ -56,7 +56,7 @@
 	qt.Check(t, (&Route{}).Pick(0.5), qt.Equals, "")
 }
 
-func TestOnlyResumableStreamsAndIdempotentRequestsRepeat(t *testing.T) {
+func TestOnlyResumableStreamsAndIdempotentRequestsMayRepeat(t *testing.T) {
 	qt.Check(t, (&Route{Kind: NonIdempotent}).MayRepeat(), qt.IsFalse)
 	qt.Check(t, (&Route{Kind: NonIdempotent, Resumable: true}).MayRepeat(), qt.IsFalse)
 	qt.Check(t, (&Route{Kind: Streaming}).MayRepeat(), qt.IsFalse)
