--- a/state/teamuse/callers.go
+++ b/state/teamuse/callers.go
@@ -1,33 +1,33 @@
 package teamuse
 
-// Callers tells the team of a caller's address, from what was read of it last. It is
-// bounded: addresses that were not seen for the longest are forgotten. It must be used by
-// one goroutine at a time.
+// Callers maps a caller's address to the team that was last authenticated from it. It is
+// bounded and evicts the least recently seen addresses. It is not safe for concurrent use.
 type Callers[Address comparable] struct {
-	most int
-	// now and before are the addresses seen in two spans of the memory.
-	now, before map[Address]string
+	capacity int
+	// current and previous are the current and the previous generation of addresses.
+	current, previous map[Address]string
 }
 
-// NewCallers returns a memory of at most that many addresses.
-func NewCallers[Address comparable](most int) *Callers[Address] {
-	return &Callers[Address]{most: most, now: make(map[Address]string)}
+// NewCallers returns an empty map of at most the given number of addresses.
+func NewCallers[Address comparable](capacity int) *Callers[Address] {
+	return &Callers[Address]{capacity: capacity, current: make(map[Address]string)}
 }
 
-// Seen notes the team of an address.
+// Seen records the team of an address. When the current generation is full, it
+// replaces the previous one.
 func (c *Callers[Address]) Seen(from Address, team string) {
-	if _, known := c.now[from]; !known && len(c.now) >= c.most/2 {
-		c.before, c.now = c.now, make(map[Address]string)
+	if _, known := c.current[from]; !known && len(c.current) >= c.capacity/2 {
+		c.previous, c.current = c.current, make(map[Address]string)
 	}
-	c.now[from] = team
+	c.current[from] = team
 }
 
-// Team returns the team whose key the address used last, or Unknown.
+// Team returns the team whose key was last used from the address, or Unknown.
 func (c *Callers[Address]) Team(from Address) string {
-	if team, known := c.now[from]; known {
+	if team, known := c.current[from]; known {
 		return team
 	}
-	team, known := c.before[from]
+	team, known := c.previous[from]
 	if known {
 		c.Seen(from, team)
 	}
--- a/state/teamuse/teamuse.go
+++ b/state/teamuse/teamuse.go
@@ -1,12 +1,12 @@
-// Package teamuse counts what the teams asked of one router and got from it, and which
-// team's callers connect from which address.
+// Package teamuse counts per team the requests that one router received and served, and
+// records which team's callers connect from which address.
 //
-// The pattern that it answers: a team gets far less than others, and nobody can say
-// whether it was refused for its share, for lack of streams, or never heard, because
-// its connections were closed unread.
+// It is for diagnosing a team that is served far less than others: the counts show
+// whether its requests were refused because of its share or for lack of streams, or were
+// never read because its connections were closed unread.
 //
-// Its tables are bounded; each must be used by one goroutine at a time. Direct routers use
-// it, through transport/teamlog.
+// All tables are bounded and not safe for concurrent use. Direct routers use the package
+// through transport/teamlog.
 package teamuse
 
 import (
@@ -15,56 +15,57 @@
 	"slices"
 )
 
-// Use is what one team asked of the router and got, since a moment.
+// Use contains the counts of one team since the start of the interval.
 type Use struct {
-	// Requests are the tries whose head was read, and Asked their tokens.
+	// Requests is the number of attempts whose header was read, and Asked their tokens.
 	Requests int
 	Asked    float64
-	// Largest is the greatest of those requests, in tokens.
+	// Largest is the largest of those requests, in tokens.
 	Largest float64
-	// Begun are the tokens of the requests whose answers a backend server began, and
-	// Delivered those of the requests that were answered whole.
+	// Begun is the tokens of the requests to which a backend server started to respond,
+	// and Delivered those of the requests whose response was complete.
 	Begun, Delivered float64
-	// Late counts the requests whose answers began after their objective.
+	// Late counts the requests whose response started after their objective.
 	Late int
 	// Refused counts the refusals by their reason.
 	Refused map[string]int
-	// Unread are the connections that were closed before anything was read of them.
+	// Unread counts the connections that were closed before anything was read from them.
 	Unread int
-	// Streams are those that the team holds now.
+	// Streams is the number of the team's open streams.
 	Streams int
 }
 
-// isQuiet reports whether nothing happened.
-func (u *Use) isQuiet() bool {
+// isEmpty reports whether nothing was counted in the interval.
+func (u *Use) isEmpty() bool {
 	return u.Requests == 0 && u.Begun == 0 && u.Delivered == 0 && u.Unread == 0 && len(u.Refused) == 0
 }
 
-// Row is the use of a named team.
+// Row contains the counts of the named team.
 type Row struct {
 	Team string
 	Use
 }
 
-// Unknown is the team of callers of whom nothing was read yet.
+// Unknown is the team of callers from whom nothing has been read yet.
 const Unknown = ""
 
-// Others is the name under which teams are counted beyond the bound.
+// Others is the name under which teams beyond the limit are aggregated.
 const Others = "(others)"
 
-// Table holds the counts of the current interval.
+// Table contains the counts of the current interval.
 type Table struct {
-	most  int
-	teams map[string]*Use
+	capacity int
+	teams    map[string]*Use
 }
 
-// NewTable returns a table of at most that many teams; more count as Others.
-func NewTable(most int) *Table { return &Table{most: most, teams: make(map[string]*Use)} }
+// NewTable returns a table of at most the given number of teams; further teams are
+// counted as Others.
+func NewTable(capacity int) *Table { return &Table{capacity: capacity, teams: make(map[string]*Use)} }
 
-// use returns the team's counts.
-func (t *Table) use(team string) *Use {
+// counts returns the counts of the team, or those of Others if the table is full.
+func (t *Table) counts(team string) *Use {
 	u := t.teams[team]
-	if u == nil && len(t.teams) >= t.most {
+	if u == nil && len(t.teams) >= t.capacity {
 		team = Others
 		u = t.teams[team]
 	}
@@ -75,32 +76,32 @@
 	return u
 }
 
-// Asked counts a request that was read.
+// Asked counts a request whose header was read.
 func (t *Table) Asked(team string, tokens float64) {
-	u := t.use(team)
+	u := t.counts(team)
 	u.Requests++
 	u.Asked += tokens
 	u.Largest = max(u.Largest, tokens)
 }
 
-// Begun counts a request whose answer a backend server began, and whether that was after
-// its objective.
+// Begun counts a request to which a backend server started to respond; isLate marks a
+// start after the request's objective.
 func (t *Table) Begun(team string, tokens float64, isLate bool) {
-	u := t.use(team)
+	u := t.counts(team)
 	u.Begun += tokens
 	if isLate {
 		u.Late++
 	}
 }
 
-// Delivered counts a request that was answered whole.
+// Delivered counts a request whose response was complete.
 func (t *Table) Delivered(team string, tokens float64) {
-	t.use(team).Delivered += tokens
+	t.counts(team).Delivered += tokens
 }
 
 // Refused counts a refusal.
 func (t *Table) Refused(team, reason string) {
-	u := t.use(team)
+	u := t.counts(team)
 	if u.Refused == nil {
 		u.Refused = make(map[string]int)
 	}
@@ -109,21 +110,22 @@
 
 // Unread counts a connection that was closed unread.
 func (t *Table) Unread(team string) {
-	t.use(team).Unread++
+	t.counts(team).Unread++
 }
 
-// Stream counts one stream more of the team, or with -1 one less.
+// Stream adjusts the number of the team's open streams: 1 when a stream opens, -1 when it
+// closes.
 func (t *Table) Stream(team string, by int) {
-	t.use(team).Streams += by
+	t.counts(team).Streams += by
 }
 
-// Take returns the teams of which something was counted since the last call, those
-// that asked for most first, and begins anew. Streams go on.
+// Take returns the teams with activity since the last call, in descending order of
+// requested tokens, and resets the counts except those of open streams.
 func (t *Table) Take() []Row {
 	var rows []Row
 	for _, team := range slices.Sorted(maps.Keys(t.teams)) {
 		u := t.teams[team]
-		if !u.isQuiet() {
+		if !u.isEmpty() {
 			rows = append(rows, Row{team, *u})
 		}
 		if u.Streams == 0 {
--- a/state/teamuse/teamuse_test.go
+++ b/state/teamuse/teamuse_test.go
@@ -7,8 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// What a team asked, got and was refused is told once, the largest asker first.
-func TestUseIsToldOnce(t *testing.T) {
+// Each count is returned by one Take only; the team with the most requested tokens comes
+// first.
+func TestTakeReturnsCountsOnce(t *testing.T) {
 	table := NewTable(10)
 	table.Asked("small", 100)
 	table.Asked("large", 1000)
@@ -24,8 +25,8 @@
 	qt.Check(t, table.Take(), qt.HasLen, 0)
 }
 
-// Streams outlast the interval in which they began.
-func TestStreamsGoOn(t *testing.T) {
+// Open streams stay counted after the interval in which they started.
+func TestOpenStreamsOutlastTheInterval(t *testing.T) {
 	table := NewTable(10)
 	table.Stream("a", 1)
 	table.Take()
@@ -36,7 +37,7 @@
 	qt.Check(t, table.teams, qt.HasLen, 0)
 }
 
-// Memory is bounded by the number of teams, and none is lost from the sums.
+// The table is bounded, and teams beyond the limit are still included in the sums.
 func TestTeamsAreBounded(t *testing.T) {
 	table := NewTable(3)
 	for i := range 10 {
@@ -49,14 +50,14 @@
 	qt.Check(t, sum, qt.Equals, 10.0)
 }
 
-// The team of an address is known while it calls, whatever number of others do.
-func TestAnAddressThatCallsIsRemembered(t *testing.T) {
+// An address that keeps calling is not evicted, however many other addresses call.
+func TestActiveAddressIsNotEvicted(t *testing.T) {
 	c := NewCallers[int](20)
 	c.Seen(0, "a")
 	for i := range 1000 {
 		c.Seen(i+1, "b")
 		qt.Assert(t, c.Team(0), qt.Equals, "a")
 	}
-	qt.Check(t, len(c.now)+len(c.before) <= 20, qt.IsTrue)
+	qt.Check(t, len(c.current)+len(c.previous) <= 20, qt.IsTrue)
 	qt.Check(t, c.Team(1), qt.Equals, Unknown)
 }
