--- a/standin/backend/announced.go
+++ b/standin/backend/announced.go
@@ -6,60 +6,60 @@
 	"time"
 )
 
-// Headers by which an answer tells of its server.
+// Response headers that report the server's state.
 const (
-	// headerLeaving is "1" in all answers of a server that leaves, headerRetryAfter
-	// the seconds for which one that turns a request away wants none.
-	headerLeaving    = "Server-Leaving"
+	// headerDraining is "1" in all responses of a server that is draining. headerRetryAfter
+	// is the back-off, in seconds, that an overloaded server requests when it rejects a request.
+	headerDraining   = "Server-Leaving"
 	headerRetryAfter = "Retry-After"
 )
 
-// Word is what the answer to a request says of its server.
+// Word records what the response to a request reports about its server.
 type Word struct {
 	ID, Server string
 	Born       int64
-	// Leaving tells that it leaves, RetryAfter for how long it wants no requests.
+	// Leaving is set if the server is draining. RetryAfter is the back-off that it requested.
 	Leaving    bool
 	RetryAfter time.Duration
 	At         time.Time
 }
 
-// Says is what a server says of itself in its answers.
+// Says is the state that a server reports in its responses.
 type Says struct {
-	// Leaving: it leaves.
+	// Leaving is set while the server is draining.
 	Leaving bool
-	// RetryAfter is for how long it wants no requests of those whose requests it
-	// turns away; 0: it does not say.
+	// RetryAfter is the back-off that it requests when it rejects a request as
+	// overloaded; 0 means that it requests none.
 	RetryAfter time.Duration
 }
 
-// SetSays replaces what later answers say of the server.
-func (s *Server) SetSays(says Says) {
+// SetSays replaces the state that later responses report.
+func (s *Server) SetSays(state Says) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.says = says
+	s.state = state
 }
 
-// said returns what answers say of the server.
-func (s *Server) said() Says {
+// reportedState returns the state that responses report.
+func (s *Server) reportedState() Says {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.says
+	return s.state
 }
 
-// announce writes into an answer's head what the server says, and returns that.
-func (s *Server) announce(w http.ResponseWriter, id string) Says {
-	says := s.said()
-	if says.Leaving {
-		w.Header().Set(headerLeaving, "1")
+// reportState sets the response headers that report the server's state, and returns that state.
+func (s *Server) reportState(w http.ResponseWriter, id string) Says {
+	state := s.reportedState()
+	if state.Leaving {
+		w.Header().Set(headerDraining, "1")
 		s.journal.Said(Word{ID: id, Server: s.cfg.ID, Born: s.cfg.Born, Leaving: true, At: time.Now()})
 	}
-	return says
+	return state
 }
 
-// turnAway refuses a request for which there is no room, and says for how long the
-// server wants none.
-func (s *Server) turnAway(w http.ResponseWriter, id string, after time.Duration) {
+// rejectOverloaded rejects a request because no slot is free or the server sheds load, and
+// requests the back-off if it is positive.
+func (s *Server) rejectOverloaded(w http.ResponseWriter, id string, after time.Duration) {
 	if after > 0 {
 		w.Header().Set(headerRetryAfter, strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
 		s.journal.Said(Word{ID: id, Server: s.cfg.ID, Born: s.cfg.Born, RetryAfter: after, At: time.Now()})
--- a/standin/backend/answer.go
+++ b/standin/backend/answer.go
@@ -10,21 +10,21 @@
 	"goldcrestport/standin/internal/reply"
 )
 
-// answer runs the request. It reports whether the run came to its end.
+// answer runs the request and responds to it. It reports whether the run completed.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, run Run, fault Fault) bool {
 	switch fault {
 	case Hangs:
 		<-r.Context().Done()
 		return false
 	case Loses:
-		whole := pause(r, s.cfg.Time)
+		completed := sleep(r, s.cfg.Time)
 		reply.Abort(w)
-		return whole
+		return completed
 	case Fails:
-		whole := pause(r, s.cfg.Time)
-		s.head(w, run)
+		completed := sleep(r, s.cfg.Time)
+		s.setHeaders(w, run)
 		reply.Error(w, http.StatusInternalServerError, "fault")
-		return whole
+		return completed
 	}
 	if s.cfg.Engine {
 		return s.stream(w, r, run, fault)
@@ -32,14 +32,14 @@
 	return s.plain(w, r, run, fault)
 }
 
-func (s *Server) head(w http.ResponseWriter, run Run) {
+func (s *Server) setHeaders(w http.ResponseWriter, run Run) {
 	w.Header().Set(headerID, run.ID)
-	w.Header().Set(headerMark, run.Server+"."+run.ID)
+	w.Header().Set(headerStamp, run.Server+"."+run.ID)
 	w.Header().Set(headerLoad, s.load())
 }
 
-// pause waits; it reports false when the caller left first.
-func pause(r *http.Request, d time.Duration) bool {
+// sleep waits for d. It returns false if the client disconnects first.
+func sleep(r *http.Request, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -50,35 +50,35 @@
 	}
 }
 
-// Body returns the body of a plain answer to the request.
+// Body returns the body of a plain service's response to the request.
 func Body(id string) string { return strings.Repeat("answer to "+id+"\n", 20) }
 
 func (s *Server) plain(w http.ResponseWriter, r *http.Request, run Run, fault Fault) bool {
-	if !pause(r, s.cfg.Time) {
+	if !sleep(r, s.cfg.Time) {
 		return false
 	}
 	body := Body(run.ID)
-	s.head(w, run)
-	s.plainFraming(run, fault).headers(w, len(body))
+	s.setHeaders(w, run)
+	s.plainShape(run, fault).setFraming(w, len(body))
 	if fault == Breaks {
 		body = body[:len(body)/2]
 	}
 	_, _ = w.Write([]byte(body))
-	s.spoil(w, fault, run, body)
+	s.endWithFault(w, fault, run, body)
 	return true
 }
 
-// plainFraming is that of a plain answer. One that a living server breaks off has a length:
-// nobody could tell one without from a whole answer.
-func (s *Server) plainFraming(run Run, fault Fault) shape {
+// plainShape returns the shape of a plain response. A response that a running server truncates has a
+// Content-Length: without it, the client could not tell it from a complete response.
+func (s *Server) plainShape(run Run, fault Fault) shape {
 	if !s.hasShapes() || fault != Sound {
-		return shape{framing: length}
+		return shape{framing: contentLength}
 	}
 	return s.shapeOf(run)
 }
 
-// spoil ends a broken answer, or sends a second one.
-func (s *Server) spoil(w http.ResponseWriter, fault Fault, run Run, body string) {
+// endWithFault closes the connection of a truncated response, or sends a second response on it.
+func (s *Server) endWithFault(w http.ResponseWriter, fault Fault, run Run, body string) {
 	if fault != Breaks && fault != Doubles {
 		return
 	}
@@ -88,48 +88,48 @@
 		return
 	}
 	if fault == Doubles {
-		// The connection stays open: whoever uses it again would read this. Servers
-		// name the request in every answer.
-		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s: %s\r\n%s: x\r\n\r\n%s", len(body), headerID, run.ID, headerMark, body)
-		time.AfterFunc(doubledStays, func() { _ = conn.Close() })
+		// The connection stays open, so that a client that reuses it would read this response.
+		// It carries the request ID, as servers send it in every response.
+		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s: %s\r\n%s: x\r\n\r\n%s", len(body), headerID, run.ID, headerStamp, body)
+		time.AfterFunc(doubledLifetime, func() { _ = conn.Close() })
 		return
 	}
 	_ = conn.Close()
 }
 
-// doubledStays is how long a connection with a second answer stays open.
-const doubledStays = 2 * time.Second
+// doubledLifetime is how long a connection with a second response stays open.
+const doubledLifetime = 2 * time.Second
 
 // eventTokens is the number of tokens in one event.
 const eventTokens = 5
 
-// Events returns the number of events in the stream of a request that bounds
-// its answer to the tokens.
+// Events returns the number of events in the stream of a request whose output is
+// limited to the given number of tokens.
 func Events(tokens int) int { return max(tokens/eventTokens, 1) }
 
-// Event returns one event of the stream of a request.
+// Event returns the n-th event of the stream of a request.
 func Event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, id, n) }
 
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, run Run, fault Fault) bool {
 	_, output, _ := strings.Cut(r.Header.Get(headerTokens), ",")
 	tokens, _ := strconv.Atoi(output)
 	last := Events(tokens)
-	look, breaksAt := s.shapeOf(run), last+1
+	form, truncateAt := s.shapeOf(run), last+1
 	if fault == Breaks {
-		breaksAt = max(last/2, run.ResumedAfter+1)
+		truncateAt = max(last/2, run.ResumedAfter+1)
 	}
-	s.head(w, run)
+	s.setHeaders(w, run)
 	w.Header().Set("Content-Type", "text/event-stream")
-	look.headers(w, streamSize(look, run, last, breaksAt))
+	form.setFraming(w, streamSize(form, run, last, truncateAt))
 	flusher := http.NewResponseController(w)
 	for n := run.ResumedAfter + 1; n <= last; n++ {
-		if !pause(r, s.cfg.Time) {
+		if !sleep(r, s.cfg.Time) {
 			return false
 		}
 		event := Event(run.ID, n)
-		if n == breaksAt {
-			_, _ = w.Write([]byte(look.cutOf(event)))
-			look.breakOff(w)
+		if n == truncateAt {
+			_, _ = w.Write([]byte(form.partBeforeCut(event)))
+			form.truncate(w)
 			return false
 		}
 		if _, err := w.Write([]byte(event)); err != nil {
@@ -140,14 +140,14 @@
 	return true
 }
 
-// streamSize is the length that a stream announces: that of all its events, or of what comes of
-// them where it marks an end before.
-func streamSize(look shape, run Run, last, breaksAt int) int {
+// streamSize returns the Content-Length of a stream: the size of all its events, or of the part
+// that is sent if the truncated response is framed as complete.
+func streamSize(form shape, run Run, last, truncateAt int) int {
 	size := 0
 	for n := run.ResumedAfter + 1; n <= last; n++ {
 		event := Event(run.ID, n)
-		if n == breaksAt && look.end == marks {
-			return size + len(look.cutOf(event))
+		if n == truncateAt && form.end == endsFraming {
+			return size + len(form.partBeforeCut(event))
 		}
 		size += len(event)
 	}
--- a/standin/backend/backend.go
+++ b/standin/backend/backend.go
@@ -1,7 +1,7 @@
 // Package backend is a stand-in for a backend server of the users' platform,
-// written from the users' pages: a model engine that streams events, or a plain
-// service. It tells every run that it began and how the run ended, and it
-// shows the faults that the pages name.
+// written from the users' documentation: a model engine that streams events, or a
+// plain service. It reports the start and the end of every run to a journal, and
+// injects the faults that the documentation describes.
 package backend
 
 import (
@@ -14,99 +14,99 @@
 	"goldcrestport/standin/internal/reply"
 )
 
-// Headers of requests and answers.
+// Request and response headers.
 const (
-	headerID     = "Attempt-Id"
-	headerTeam   = "Tenant"
-	headerServer = "Expect-Replica"
-	headerLeft   = "Deadline-Ms"
-	headerTokens = "Token-Count"
-	headerLast   = "Last-Event-Id"
-	headerNotRun = "Not-Executed"
-	headerMark   = "Replica-Stamp"
-	headerLoad   = "Replica-Load"
+	headerID             = "Attempt-Id"
+	headerTeam           = "Tenant"
+	headerExpectedServer = "Expect-Replica"
+	headerTimeLeft       = "Deadline-Ms"
+	headerTokens         = "Token-Count"
+	headerLastEvent      = "Last-Event-Id"
+	headerNotRun         = "Not-Executed"
+	headerStamp          = "Replica-Stamp"
+	headerLoad           = "Replica-Load"
 )
 
-// Config holds what a backend server is.
+// Config holds the settings of a backend server.
 type Config struct {
-	// ID names the server, and Born this process of it: the Unix millisecond of its
-	// start.
+	// ID identifies the server. Born is the start time of its process in Unix
+	// milliseconds, which distinguishes its incarnations.
 	ID      string
 	Born    int64
 	Service string
-	// Slots is the number of requests that run at once.
+	// Slots is the maximum number of requests that run concurrently.
 	Slots int
-	// Time is how long a plain request takes, and the pause between two
+	// Time is the duration of a plain request, and the interval between two
 	// events of a stream.
 	Time time.Duration
-	// Engine tells that answers are streams.
+	// Engine makes the server respond with event streams.
 	Engine bool
-	// Crash ends the server; it is called with the body of the request that
-	// crashes it, and may be called again before the server is gone. Without it
-	// such a request is like any other.
+	// Crash terminates the server. It is called with the body of the request that
+	// crashes it, and may be called again before the server has terminated. If it is
+	// nil, such a request is handled like any other.
 	Crash func(body string)
 }
 
-// Fault is what goes wrong with answers.
+// Fault is a fault injected into responses.
 type Fault string
 
-// Faults of answers.
+// Faults of responses.
 const (
-	// Sound is a server without a fault.
+	// Sound injects no fault.
 	Sound Fault = ""
-	// Fails answers 500 after the run.
+	// Fails responds with status 500 after the run.
 	Fails Fault = "fails"
-	// Sheds refuses every request at once.
+	// Sheds rejects every request immediately.
 	Sheds Fault = "sheds"
-	// Hangs never answers; the run ends with its connection.
+	// Hangs never responds; the run ends when the client disconnects.
 	Hangs Fault = "hangs"
-	// Loses runs the request and closes the connection without an answer.
+	// Loses runs the request and closes the connection without a response.
 	Loses Fault = "loses"
-	// Breaks ends the answer in its middle.
+	// Breaks truncates the response.
 	Breaks Fault = "breaks"
-	// Doubles sends a second answer after the first.
+	// Doubles sends a second response after the first.
 	Doubles Fault = "doubles"
 )
 
 // Run is one run of a request.
 type Run struct {
-	// ID is the caller's id of the request, Team the one that the router named.
+	// ID is the request ID that the caller sent. Team is the team that the router sent.
 	ID, Team string
-	// Server and Service are where it ran, Born the server's process.
+	// Server and Service are where it ran. Born is the start time of the server's process.
 	Server, Service string
 	Born            int64
 	Path            string
 	Began           time.Time
-	// Ended is the zero time while it runs.
+	// Ended is the zero time while the run is in progress.
 	Ended time.Time
-	// Whole tells that it ran to its end.
+	// Whole is set if the run completed.
 	Whole bool
-	// ResumedAfter is the event after which a stream went on.
+	// ResumedAfter is the number of the event after which the stream was resumed.
 	ResumedAfter int
-	// TimeLeft is what the router said that the caller still waits.
+	// TimeLeft is the time until the caller's deadline, as sent by the router.
 	TimeLeft time.Duration
 }
 
-// Journal takes runs.
+// Journal receives the events of a server.
 type Journal interface {
-	// Began is told of a run before any of its answer is sent.
+	// Began is called at the start of a run, before any part of its response is sent.
 	Began(Run)
-	// Ended is told of the same run at its end.
+	// Ended is called at the end of the run.
 	Ended(Run)
-	// Arrived is told of every request, also of one that is refused.
+	// Arrived is called for every request, including rejected ones.
 	Arrived(Arrival)
-	// Said is told what an answer says of the server.
+	// Said is called when a response reports the server's state.
 	Said(Word)
 }
 
-// Arrival is a request's arrival at a server.
+// Arrival records the arrival of a request at a server.
 type Arrival struct {
 	Service, Server string
 	Born            int64
-	// ID is the caller's id of the request.
+	// ID is the request ID that the caller sent.
 	ID string
 	At time.Time
-	// Misdirected tells that it was for another server, and was refused for that.
+	// Misdirected is set if the request was addressed to another server and therefore rejected.
 	Misdirected bool
 }
 
@@ -118,46 +118,46 @@
 	mu      sync.Mutex
 	running int
 	fault   Fault
-	says    Says
+	state   Says
 	shapes  bool
 }
 
-// New returns a sound server.
+// New returns a server that injects no fault.
 func New(cfg Config, journal Journal) *Server { return &Server{cfg: cfg, journal: journal} }
 
-// SetFault replaces the fault of later answers.
+// SetFault replaces the fault injected into later responses.
 func (s *Server) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// SetShapes lets later answers come in chunks, with a length or with neither, and break off in
-// every way, by their requests. Before, all come as net/http frames them.
+// SetShapes makes later responses vary by request in their framing (chunked, Content-Length or neither)
+// and in how they are truncated. By default, net/http chooses the framing.
 func (s *Server) SetShapes(shapes bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.shapes = shapes
 }
 
-// hasShapes reports whether answers come in every framing.
+// hasShapes reports whether responses vary in their framing.
 func (s *Server) hasShapes() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.shapes
 }
 
-// maxBody bounds a request's body, in bytes.
+// maxBody is the maximum size of a request body, in bytes.
 const maxBody = 4 << 20
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(headerID)
-	want := r.Header.Get(headerServer)
-	isOther := want != "" && want != s.cfg.ID
-	s.journal.Arrived(Arrival{Service: s.cfg.Service, Server: s.cfg.ID, Born: s.cfg.Born, ID: id, At: time.Now(), Misdirected: isOther})
-	says := s.announce(w, id)
-	if isOther {
+	want := r.Header.Get(headerExpectedServer)
+	misdirected := want != "" && want != s.cfg.ID
+	s.journal.Arrived(Arrival{Service: s.cfg.Service, Server: s.cfg.ID, Born: s.cfg.Born, ID: id, At: time.Now(), Misdirected: misdirected})
+	state := s.reportState(w, id)
+	if misdirected {
 		s.refuse(w, http.StatusMisdirectedRequest)
 		return
 	}
@@ -165,24 +165,24 @@
 		s.refuse(w, http.StatusBadRequest)
 		return
 	}
-	fault, free := s.take()
+	fault, free := s.acquire()
 	if fault == Sheds {
 		s.release()
 	}
 	if !free || fault == Sheds {
-		s.turnAway(w, id, says.RetryAfter)
+		s.rejectOverloaded(w, id, state.RetryAfter)
 		return
 	}
 	defer s.release()
-	// A connection's end is noticed only once the body has been read.
+	// net/http detects that the client disconnected only once the body has been read.
 	body, status := reply.Body(w, r, maxBody)
 	if status != 0 {
 		s.refuse(w, status)
 		return
 	}
-	run := s.begin(r)
+	run := s.newRun(r)
 	s.journal.Began(run)
-	if way := crashWay(body); way != "" && s.cfg.Crash != nil {
+	if way := parseCrashWay(body); way != "" && s.cfg.Crash != nil {
 		run.Whole = s.crash(w, r, run, way, string(body))
 	} else {
 		run.Whole = s.answer(w, r, run, fault)
@@ -191,14 +191,14 @@
 	s.journal.Ended(run)
 }
 
-// refuse answers that the request was not run.
+// refuse responds that the request was not run.
 func (s *Server) refuse(w http.ResponseWriter, status int) {
 	w.Header().Set(headerNotRun, "1")
 	reply.Error(w, status, "not run")
 }
 
-// take takes a slot if one is free.
-func (s *Server) take() (Fault, bool) {
+// acquire acquires a slot if one is free, and returns the fault to inject.
+func (s *Server) acquire() (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running >= s.cfg.Slots {
@@ -220,12 +220,12 @@
 	return fmt.Sprintf("%d,0,%d", s.running, s.cfg.Slots)
 }
 
-func (s *Server) begin(r *http.Request) Run {
-	// What is missing counts as 0.
-	after, _ := strconv.Atoi(r.Header.Get(headerLast))
-	left, _ := strconv.ParseInt(r.Header.Get(headerLeft), 10, 64)
+func (s *Server) newRun(r *http.Request) Run {
+	// Missing headers count as 0.
+	after, _ := strconv.Atoi(r.Header.Get(headerLastEvent))
+	timeLeft, _ := strconv.ParseInt(r.Header.Get(headerTimeLeft), 10, 64)
 	return Run{
 		ID: r.Header.Get(headerID), Team: r.Header.Get(headerTeam), Server: s.cfg.ID, Born: s.cfg.Born, Service: s.cfg.Service, Path: r.URL.Path,
-		Began: time.Now(), ResumedAfter: after, TimeLeft: time.Duration(left) * time.Millisecond,
+		Began: time.Now(), ResumedAfter: after, TimeLeft: time.Duration(timeLeft) * time.Millisecond,
 	}
 }
--- a/standin/backend/crash.go
+++ b/standin/backend/crash.go
@@ -9,68 +9,68 @@
 	"goldcrestport/standin/internal/reply"
 )
 
-// CrashWay says when a server ends under a request that crashes it.
+// CrashWay is the point of a request at which the server crashes.
 type CrashWay string
 
-// Ways of crashing.
+// Points at which a server crashes.
 const (
-	// AtOnce: before anything of the answer.
+	// AtOnce crashes the server before any part of the response is sent.
 	AtOnce CrashWay = "at-once"
-	// InTheMiddle: after a part of it.
+	// InTheMiddle crashes the server after a part of the response.
 	InTheMiddle CrashWay = "in-the-middle"
-	// Afterwards: after the whole answer.
+	// Afterwards crashes the server after the complete response.
 	Afterwards CrashWay = "afterwards"
 )
 
-// crashMark begins the body of a request that crashes each server that begins it.
-const crashMark = "crash "
+// crashPrefix is the prefix of the body of a request that crashes every server that starts it.
+const crashPrefix = "crash "
 
-// crashDelay is the time from the begin of a run, or its answer, to the crash.
+// crashDelay is the time from the start of a run, or from its response, to the crash.
 const crashDelay = 20 * time.Millisecond
 
-// CrashBody returns the body of a request that crashes servers; the number tells
-// several apart.
-func CrashBody(way CrashWay, n int) string { return crashMark + string(way) + " " + strconv.Itoa(n) }
+// CrashBody returns the body of a request that crashes servers; n distinguishes
+// several such requests.
+func CrashBody(way CrashWay, n int) string { return crashPrefix + string(way) + " " + strconv.Itoa(n) }
 
-// Crashes reports whether a request with the body crashes servers.
-func Crashes(body string) bool { return crashWay([]byte(body)) != "" }
+// Crashes reports whether a request with the given body crashes servers.
+func Crashes(body string) bool { return parseCrashWay([]byte(body)) != "" }
 
-func crashWay(body []byte) CrashWay {
+func parseCrashWay(body []byte) CrashWay {
 	fields := strings.Fields(string(body))
-	if len(fields) != 3 || fields[0]+" " != crashMark {
+	if len(fields) != 3 || fields[0]+" " != crashPrefix {
 		return ""
 	}
 	return CrashWay(fields[1])
 }
 
-// crash plays a run that ends the server, which the owner does in Config.Crash.
+// crash simulates a run that crashes the server; Config.Crash terminates it.
 func (s *Server) crash(w http.ResponseWriter, r *http.Request, run Run, way CrashWay, body string) bool {
-	end := func() { s.cfg.Crash(body) }
+	terminate := func() { s.cfg.Crash(body) }
 	switch way {
 	case InTheMiddle:
-		s.head(w, run)
+		s.setHeaders(w, run)
 		if s.cfg.Engine {
-			look := s.shapeOf(run)
+			form := s.shapeOf(run)
 			w.Header().Set("Content-Type", "text/event-stream")
 			event := Event(run.ID, run.ResumedAfter+1)
-			look.headers(w, 2*len(event))
+			form.setFraming(w, 2*len(event))
 			_, _ = w.Write([]byte(event))
 			if s.hasShapes() {
-				_, _ = w.Write([]byte(look.cutOf(event)))
+				_, _ = w.Write([]byte(form.partBeforeCut(event)))
 			}
 		} else {
 			answer := Body(run.ID)
-			s.plainFraming(run, Sound).headers(w, len(answer))
+			s.plainShape(run, Sound).setFraming(w, len(answer))
 			_, _ = w.Write([]byte(answer[:len(answer)/2]))
 		}
 		_ = http.NewResponseController(w).Flush()
 	case Afterwards:
-		defer time.AfterFunc(crashDelay, end)
+		defer time.AfterFunc(crashDelay, terminate)
 		return s.answer(w, r, run, Sound)
 	}
-	pause(r, crashDelay)
-	end()
-	// The server may be going under another request: this answer must not end well.
+	sleep(r, crashDelay)
+	terminate()
+	// Another request may already be terminating the server: this response must not complete normally.
 	reply.Abort(w)
 	return false
 }
--- a/standin/backend/entry.go
+++ b/standin/backend/entry.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Entry is what a backend server writes about itself under its key in the
+// Entry is the record that a backend server writes under its own key in the
 // store.
 type Entry struct {
 	Service string `json:"service"`
@@ -11,11 +11,11 @@
 	Version string `json:"version"`
 	Slots   int    `json:"slots"`
 	State   string `json:"state"`
-	// ColdLeftMs is how much longer the server is slow after its start.
+	// ColdLeftMs is the remaining time for which the server is slow after its start.
 	ColdLeftMs float64 `json:"coldLeftMs"`
 	Seq        int     `json:"seq"`
-	// Born is the Unix millisecond of the process's start; 0: an older server,
-	// which does not say it.
+	// Born is the start time of the process in Unix milliseconds; 0 for an older
+	// server, which does not report it.
 	Born int64 `json:"born,omitempty"`
 }
 
@@ -25,12 +25,12 @@
 	Draining = "draining"
 )
 
-// Key returns the key of the server's entry.
+// Key returns the key of the server's entry in the store.
 func Key(id string) string { return "servers/" + id }
 
-// Bytes returns the entry as it is written.
+// Bytes returns the entry as encoded in the store.
 func (e Entry) Bytes() []byte {
-	// A struct of texts and numbers has no value that cannot be written.
+	// Encoding cannot fail: the entry holds only strings and finite numbers.
 	data, _ := json.Marshal(e)
 	return data
 }
--- a/standin/backend/shape.go
+++ b/standin/backend/shape.go
@@ -8,60 +8,60 @@
 	"goldcrestport/standin/internal/reply"
 )
 
-// framing is how an answer tells where its body ends.
+// framing determines how the end of a response body is marked.
 type framing int
 
 const (
-	chunks framing = iota
-	length
-	connection
-	framings
+	chunked framing = iota
+	contentLength
+	untilClose
+	framingCount
 )
 
-// brokenEnd is how a server ends an answer that it breaks off.
-type brokenEnd int
+// truncationEnd determines how a server ends a response that it truncates.
+type truncationEnd int
 
 const (
-	// closes its connection in good order.
-	closes brokenEnd = iota
-	// resets it.
-	resets
-	// marks the end of the framing, as if the answer were whole.
-	marks
-	brokenEnds
+	// closesConnection closes the connection normally.
+	closesConnection truncationEnd = iota
+	// resetsConnection resets the connection.
+	resetsConnection
+	// endsFraming ends the framing properly, as if the response were complete.
+	endsFraming
+	truncationEndCount
 )
 
-// shape is how an answer looks on the wire: by what the request and the server are, so that the
-// two of a repeat differ.
+// shape is how a response is framed and truncated. It is derived from the request and the server,
+// so that a retry on another server gets a shape of its own.
 type shape struct {
 	framing framing
-	end     brokenEnd
-	// cut is where a stream breaks off in its event, from 0 (before it) to 3 (all but the
-	// empty line).
+	end     truncationEnd
+	// cut is where in an event a stream is truncated, from 0 (before the event) to 3 (only the
+	// last byte, which ends the empty line, is missing).
 	cut int
 }
 
-// cuts is the number of places in an event.
-const cuts = 4
+// cutPositions is the number of positions in an event at which a stream can be truncated.
+const cutPositions = 4
 
-// shapeOf returns that of the answer to the run.
+// shapeOf returns the shape of the response to the run.
 func (s *Server) shapeOf(run Run) shape {
 	if !s.hasShapes() {
-		return shape{framing: chunks, end: closes, cut: 2}
+		return shape{framing: chunked, end: closesConnection, cut: 2}
 	}
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(run.Server + " " + run.ID))
 	n := int(h.Sum32() >> 3)
-	one := shape{framing: framing(n % int(framings)), end: brokenEnd(n / 3 % int(brokenEnds)), cut: n / 9 % cuts}
-	if one.cut == 0 && (one.end == marks || one.end == closes && one.framing == connection) {
-		// Nobody could tell it from a whole answer.
-		one.cut = 2
+	sh := shape{framing: framing(n % int(framingCount)), end: truncationEnd(n / 3 % int(truncationEndCount)), cut: n / 9 % cutPositions}
+	if sh.cut == 0 && (sh.end == endsFraming || sh.end == closesConnection && sh.framing == untilClose) {
+		// The client could not tell the truncated stream from a complete one.
+		sh.cut = 2
 	}
-	return one
+	return sh
 }
 
-// cutOf returns the piece of the event that is sent before a stream breaks off.
-func (sh shape) cutOf(event string) string {
+// partBeforeCut returns the part of the event that is sent before a stream is truncated.
+func (sh shape) partBeforeCut(event string) string {
 	switch sh.cut {
 	case 0:
 		return ""
@@ -74,24 +74,24 @@
 	}
 }
 
-// headers sets what the framing of a body of the size needs.
-func (sh shape) headers(w http.ResponseWriter, size int) {
+// setFraming sets the headers that frame a body of the given size.
+func (sh shape) setFraming(w http.ResponseWriter, size int) {
 	switch sh.framing {
-	case length:
+	case contentLength:
 		w.Header().Set("Content-Length", strconv.Itoa(size))
-	case connection:
-		// net/http's word for a body that ends with its connection.
+	case untilClose:
+		// net/http's value for a body that ends when the connection closes.
 		w.Header().Set("Transfer-Encoding", "identity")
 	}
 }
 
-// breakOff ends the answer after a part of it.
-func (sh shape) breakOff(w http.ResponseWriter) {
+// truncate ends a truncated response.
+func (sh shape) truncate(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).Flush()
 	switch {
-	case sh.end == marks || sh.end == closes && sh.framing == connection:
-		// net/http ends the framing, or the connection in good order, when the handler returns.
-	case sh.end == resets:
+	case sh.end == endsFraming || sh.end == closesConnection && sh.framing == untilClose:
+		// net/http ends the framing, or closes the connection normally, when the handler returns.
+	case sh.end == resetsConnection:
 		reply.Reset(w)
 	default:
 		reply.Abort(w)
--- a/standin/cmd/standin/direct.go
+++ b/standin/cmd/standin/direct.go
@@ -21,8 +21,8 @@
 	return command("kvstore", "Key-value store of the users' platform", func() (http.Handler, error) { return kvstore.New(), nil })
 }
 
-// stay is how long a backend server serves after it said that it leaves.
-const stay = 3 * time.Second
+// drainTime is how long a backend server keeps serving after it has announced its shutdown.
+const drainTime = 3 * time.Second
 
 // backendOptions are the flags of a backend server.
 type backendOptions struct {
@@ -48,32 +48,32 @@
 	return cmd
 }
 
-// run serves until ctx ends, and for a while after it has said that it leaves.
+// run serves until ctx is done, then announces the shutdown and serves for the drain time.
 func (o backendOptions) run(ctx context.Context) error {
 	lis, err := net.Listen("tcp", o.listen)
 	if err != nil {
 		return err
 	}
 	address := lis.Addr().String()
-	if err := o.enter(address, backend.Ready); err != nil {
+	if err := o.register(address, backend.Ready); err != nil {
 		return err
 	}
 	serving, end := context.WithCancel(context.Background())
 	defer end()
 	go func() {
 		<-ctx.Done()
-		if err := o.enter(address, backend.Draining); err != nil {
+		if err := o.register(address, backend.Draining); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
-		time.Sleep(stay)
+		time.Sleep(drainTime)
 		end()
 	}()
 	_ = lis.Close()
-	return serve(serving, address, backend.New(o.Config, &printer{}))
+	return serve(serving, address, backend.New(o.Config, &runPrinter{}))
 }
 
-// enter writes the server's entry to the store.
-func (o backendOptions) enter(address, state string) error {
+// register writes the server's entry to the store.
+func (o backendOptions) register(address, state string) error {
 	e := backend.Entry{Service: o.Service, Address: address, Zone: "hall-pamp", Version: "v1", Slots: o.Slots, State: state}
 	url := "http://" + o.store + "/admin/items/" + backend.Key(o.ID)
 	req, err := http.NewRequest(http.MethodPut, url, bytes.NewReader(e.Bytes()))
@@ -91,21 +91,21 @@
 	return nil
 }
 
-// printer writes a line of JSON for each run that begins.
-type printer struct{ mu sync.Mutex }
+// runPrinter writes a line of JSON to standard output for each run that starts.
+type runPrinter struct{ mu sync.Mutex }
 
 // Began implements backend.Journal.
-func (p *printer) Began(run backend.Run) {
+func (p *runPrinter) Began(run backend.Run) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_ = json.NewEncoder(os.Stdout).Encode(run)
 }
 
 // Ended implements backend.Journal.
-func (p *printer) Ended(backend.Run) {}
+func (p *runPrinter) Ended(backend.Run) {}
 
 // Arrived implements backend.Journal.
-func (p *printer) Arrived(backend.Arrival) {}
+func (p *runPrinter) Arrived(backend.Arrival) {}
 
 // Said implements backend.Journal.
-func (p *printer) Said(backend.Word) {}
+func (p *runPrinter) Said(backend.Word) {}
--- a/standin/cmd/standin/main.go
+++ b/standin/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs a stand-in for the platform, a model engine or a plain service on a loopback address, or for
-// the users' platform's store and one of its backend servers.
+// Command standin runs, on a loopback address, a stand-in for the platform, a model engine or a plain service, or for
+// the key-value store of the users' platform or one of its backend servers.
 package main
 
 import (
@@ -80,7 +80,7 @@
 	return cmd
 }
 
-// openJournal opens a file to append to; no name gives no journal.
+// openJournal opens a journal file for appending. It returns nil if the name is empty.
 func openJournal(name string) (io.Writer, error) {
 	if name == "" {
 		return nil, nil
@@ -105,7 +105,7 @@
 	return cmd
 }
 
-// serve answers calls until ctx ends. It prints the address once it listens.
+// serve serves HTTP until ctx is done. It prints the address once it listens.
 func serve(ctx context.Context, listen string, handler http.Handler) error {
 	host, _, err := net.SplitHostPort(listen)
 	if err != nil {
@@ -121,7 +121,7 @@
 	fmt.Println("listening on", listener.Addr())
 	server := &http.Server{
 		Handler: handler, ReadHeaderTimeout: 10 * time.Second,
-		BaseContext: func(net.Listener) context.Context { return ctx }, // waiting calls end with the process
+		BaseContext: func(net.Listener) context.Context { return ctx }, // calls that wait end at shutdown
 	}
 	go func() {
 		<-ctx.Done()
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -12,16 +12,16 @@
 	"goldcrestport/standin/lag"
 )
 
-// BlockBytes is the length of a block of the prefix cache.
+// BlockBytes is the size of a prefix cache block, in bytes of the prompt.
 const BlockBytes = 256
 
 const (
 	keptEvents = 100000
-	loseEvery  = 10
+	dropEvery  = 10
 )
 
-// BlockKeys returns the keys of a prompt's whole blocks. A key stands for the block and all before it: it is the
-// first 16 bytes, in hexadecimal, of SHA-256 over the key before (nothing for the first) and the block.
+// BlockKeys returns the keys of a prompt's complete blocks. A key identifies a block and all blocks before it: it is the
+// first 16 bytes, in hexadecimal, of the SHA-256 of the previous key (empty for the first block) and the block.
 func BlockKeys(prompt string) []string {
 	keys, last := make([]string, 0, len(prompt)/BlockBytes), ""
 	for ; len(prompt) >= BlockBytes; prompt = prompt[BlockBytes:] {
@@ -32,29 +32,29 @@
 	return keys
 }
 
-// Event tells that a block was stored or evicted.
+// Event reports that a block was stored or evicted.
 type Event struct {
 	Seq   uint64 `json:"seq"`
 	Block string `json:"block"`
 	Kind  string `json:"kind"`
 }
 
-// cache is the prefix cache: the blocks least recently used go first.
+// cache is the prefix cache, with least-recently-used eviction.
 type cache struct {
 	mu        sync.Mutex
 	limit     int
-	order     *list.List // of keys, the latest used in front
+	order     *list.List // of keys, most recently used first
 	blocks    map[string]*list.Element
 	seq       uint64
-	late      *lag.Queue[Event]
+	delayed   *lag.Queue[Event]
 	published []Event
 }
 
 func newCache(limit int, eventLag time.Duration) *cache {
-	return &cache{limit: limit, order: list.New(), blocks: map[string]*list.Element{}, late: lag.NewQueue[Event](eventLag)}
+	return &cache{limit: limit, order: list.New(), blocks: map[string]*list.Element{}, delayed: lag.NewQueue[Event](eventLag)}
 }
 
-// lookUp returns how many of the leading blocks are cached, and marks them as used.
+// lookUp returns the number of leading blocks that are cached, and marks them as used.
 func (c *cache) lookUp(keys []string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,13 +62,13 @@
 	for n < len(keys) && c.blocks[keys[n]] != nil {
 		n++
 	}
-	for i := n - 1; i >= 0; i-- { // the first block ends up in front: a prefix outlives what follows it
+	for i := n - 1; i >= 0; i-- { // the first block ends up in front: a prefix is evicted after the blocks that follow it
 		c.order.MoveToFront(c.blocks[keys[i]])
 	}
 	return n
 }
 
-// store adds blocks and returns the size of the cache.
+// store adds blocks and returns the number of blocks in the cache.
 func (c *cache) store(keys []string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,32 +78,32 @@
 			continue
 		}
 		c.blocks[keys[i]] = c.order.PushFront(keys[i])
-		c.event(keys[i], "stored")
+		c.recordEvent(keys[i], "stored")
 	}
 	for c.order.Len() > c.limit {
-		key := c.order.Remove(c.order.Back()).(string) // only strings are put in
+		key := c.order.Remove(c.order.Back()).(string) // the list holds only strings
 		delete(c.blocks, key)
-		c.event(key, "evicted")
+		c.recordEvent(key, "evicted")
 	}
 	return c.order.Len()
 }
 
-func (c *cache) event(block, kind string) {
+func (c *cache) recordEvent(block, kind string) {
 	c.seq++
-	if c.seq%loseEvery != 0 {
-		c.late.Push(Event{c.seq, block, kind})
+	if c.seq%dropEvery != 0 {
+		c.delayed.Push(Event{c.seq, block, kind})
 	}
-	c.settle()
+	c.publishDue()
 }
 
-func (c *cache) settle() {
-	c.published = append(c.published, c.late.Due()...)
+func (c *cache) publishDue() {
+	c.published = append(c.published, c.delayed.Due()...)
 	if len(c.published) > 2*keptEvents {
 		c.published = append([]Event(nil), c.published[len(c.published)-keptEvents:]...)
 	}
 }
 
-// ServeHTTP answers with the published events after a sequence number.
+// ServeHTTP responds with the published events after a sequence number.
 func (c *cache) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, _, err := reply.Uint(r, "after")
 	if err != nil {
@@ -111,7 +111,7 @@
 		return
 	}
 	c.mu.Lock()
-	c.settle()
+	c.publishDue()
 	events, next := []Event{}, uint64(0)
 	for _, e := range c.published {
 		next = e.Seq
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is a stand-in for a model engine: it batches continuously, caches prompt prefixes, streams
-// answers that can be resumed and cancelled, reports load and cache events late, and takes orders.
+// Package engine is a stand-in for a model engine: it simulates continuous batching, caches prompt prefixes, streams
+// responses that can be resumed and cancelled, reports load and cache events with a lag, and accepts orders.
 package engine
 
 import (
@@ -18,7 +18,7 @@
 
 // Config holds the settings of an engine.
 type Config struct {
-	PrefillRate   float64 // tokens a second
+	PrefillRate   float64 // tokens per second
 	Step          time.Duration
 	BatchSlowdown float64
 	Slots         int
@@ -28,10 +28,10 @@
 	CheckFence    bool
 	LoadTime      time.Duration
 	KeepRuns      int
-	Journal       io.Writer // gets a line for each start and end of a run; may be nil
+	Journal       io.Writer // receives a line for each start and end of a run; may be nil
 }
 
-// DefaultConfig returns the usual settings.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
 		PrefillRate: 20000, Step: 10 * time.Millisecond, BatchSlowdown: 0.02, Slots: 8, CacheBlocks: 4096,
@@ -39,7 +39,7 @@
 	}
 }
 
-// Server is the stand-in.
+// Server serves the engine's API over HTTP.
 type Server struct {
 	config  Config
 	mux     *http.ServeMux
@@ -51,7 +51,7 @@
 	faults  *faults.Box[faults.Backend]
 }
 
-// New returns an idle engine. A prefill rate that isn't positive becomes the usual one.
+// New returns an idle engine. A prefill rate that isn't positive is replaced by the default.
 func New(config Config) *Server {
 	if !(config.PrefillRate > 0) {
 		config.PrefillRate = DefaultConfig().PrefillRate
@@ -68,7 +68,7 @@
 	return s
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
 func (s *Server) routes() {
@@ -112,23 +112,23 @@
 	}
 }
 
-// send writes a generation's output from an offset on; it returns false when the caller didn't get it all.
+// send writes a generation's output from an offset on. It returns false if the client didn't receive all of it.
 func (s *Server) send(w http.ResponseWriter, r *http.Request, g *generation, offset int64) bool {
 	w.Header().Set("X-Stream-Id", g.id)
 	w.Header().Set("Content-Type", "application/json")
 	if g.request.Stream {
 		w.Header().Set("Content-Type", "text/event-stream")
-		_ = http.NewResponseController(w).Flush() // a broken connection shows at the first write
+		_ = http.NewResponseController(w).Flush() // an error shows at the first write to the broken connection
 	}
 	out := faults.NewCutter(w, s.faults.Get().CutAfterBytes)
 	for {
-		body, ended, more := g.from(offset)
+		body, ended, more := g.outputFrom(offset)
 		if len(body) > 0 && !out.Send(body) {
 			return false
 		}
 		offset += int64(len(body))
 		if ended {
-			return s.close(w, g)
+			return s.endResponse(w, g)
 		}
 		select {
 		case <-more:
@@ -138,9 +138,9 @@
 	}
 }
 
-// close ends an answer: one that was cancelled breaks off, so that no caller takes it for whole.
-func (s *Server) close(w http.ResponseWriter, g *generation) bool {
-	if !g.whole() {
+// endResponse ends a response. It aborts the connection of a cancelled one, so that no client takes it for complete.
+func (s *Server) endResponse(w http.ResponseWriter, g *generation) bool {
+	if !g.isComplete() {
 		reply.Abort(w)
 		return false
 	}
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -44,14 +44,14 @@
 	return string(out)
 }
 
-func TestStreamIsTheSameEverywhere(t *testing.T) {
+func TestStreamIsDeterministicAndResumable(t *testing.T) {
 	c, ctx := quicktest.New(t), context.Background()
 	s, url := start(t, func(*Config) {})
 	_, other := start(t, func(*Config) {})
-	ask := `{"model":"m","stream":true,"max_tokens":20,"gc_exact":true,"messages":[{"role":"user","content":"hello"}]}`
-	first := send(c, ctx, "POST", url+chat, ask, "")
+	chatRequest := `{"model":"m","stream":true,"max_tokens":20,"gc_exact":true,"messages":[{"role":"user","content":"hello"}]}`
+	first := send(c, ctx, "POST", url+chat, chatRequest, "")
 	whole := body(c, first)
-	c.Check(whole, quicktest.Equals, body(c, send(c, ctx, "POST", other+chat, ask, "")))
+	c.Check(whole, quicktest.Equals, body(c, send(c, ctx, "POST", other+chat, chatRequest, "")))
 	c.Check(whole, quicktest.Contains, `"content":"[r-1] `)
 	c.Check(strings.Count(whole, "data: "), quicktest.Equals, 22)
 	c.Check(strings.HasSuffix(whole, "data: [DONE]\n\n"), quicktest.IsTrue)
@@ -62,13 +62,13 @@
 	c.Check(body(c, again), quicktest.Equals, whole[100:])
 }
 
-func TestHangUpFreesTheSlotUnlessResumable(t *testing.T) {
+func TestDisconnectCancelsRunUnlessResumable(t *testing.T) {
 	c := quicktest.New(t)
-	ask := `{"stream":true,"max_tokens":300,"gc_exact":true,"messages":[{"content":"x"}]}`
+	chatRequest := `{"stream":true,"max_tokens":300,"gc_exact":true,"messages":[{"content":"x"}]}`
 	for resumable, state := range map[string]string{"": runs.Cancelled, "true": runs.Done} {
 		s, url := start(t, func(*Config) {})
 		ctx, cancel := context.WithCancel(context.Background())
-		answer := send(c, ctx, "POST", url+chat, ask, resumable)
+		answer := send(c, ctx, "POST", url+chat, chatRequest, resumable)
 		_, err := answer.Body.Read(make([]byte, 1))
 		c.Assert(err, quicktest.IsNil)
 		cancel()
@@ -82,16 +82,16 @@
 func TestPrefixCacheAndEvents(t *testing.T) {
 	c, ctx := quicktest.New(t), context.Background()
 	_, url := start(t, func(config *Config) { config.CacheEventLag = 0 })
-	ask := `{"max_tokens":2,"messages":[{"content":"` + strings.Repeat("a", 15*BlockBytes) + `"}]}`
-	c.Check(body(c, send(c, ctx, "POST", url+chat, ask, "")), quicktest.Contains, `"cached_tokens":0`)
-	c.Check(body(c, send(c, ctx, "POST", url+chat, ask, "")), quicktest.Contains, `"cached_tokens":960`)
+	chatRequest := `{"max_tokens":2,"messages":[{"content":"` + strings.Repeat("a", 15*BlockBytes) + `"}]}`
+	c.Check(body(c, send(c, ctx, "POST", url+chat, chatRequest, "")), quicktest.Contains, `"cached_tokens":0`)
+	c.Check(body(c, send(c, ctx, "POST", url+chat, chatRequest, "")), quicktest.Contains, `"cached_tokens":960`)
 	events := body(c, send(c, ctx, "GET", url+"/v1/cache/events?after=8", "", ""))
 	c.Check(events, quicktest.Contains, `"seq":9`)
 	c.Check(events, quicktest.Not(quicktest.Contains), `"seq":10`)
 	c.Check(events, quicktest.Contains, `"next":15`)
 }
 
-func TestFence(t *testing.T) {
+func TestFenceRejectsOldOrders(t *testing.T) {
 	c, ctx := quicktest.New(t), context.Background()
 	newer := `{"fence":7,"id":"a","action":"load","kind":"model","name":"m","version":"2"}`
 	older := `{"fence":6,"id":"b","action":"unload","kind":"model","name":"m"}`
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestCutAnswer(t *testing.T) {
+func TestCutAfterBytesTruncatesResponse(t *testing.T) {
 	c := quicktest.New(t)
 	_, url := start(t, func(*Config) {})
 	send(c, context.Background(), "PUT", url+"/admin/faults", `{"cut_after_bytes":50}`, "")
--- a/standin/engine/generation.go
+++ b/standin/engine/generation.go
@@ -11,7 +11,7 @@
 	"goldcrestport/standin/runs"
 )
 
-// generation is one answer in the making. Its output stays readable from any offset.
+// generation is one response and its progress. Its output can be read from any offset.
 type generation struct {
 	id      string
 	request *request
@@ -21,8 +21,8 @@
 	mu     sync.Mutex
 	output []byte
 	ended  bool
-	done   bool          // ended with the whole answer
-	more   chan struct{} // closed and replaced as output grows, closed at the end
+	done   bool          // ended with the complete response
+	more   chan struct{} // closed and replaced when output grows, closed at the end
 }
 
 func newGeneration(id string, q *request) *generation {
@@ -30,7 +30,7 @@
 	return &generation{id: id, request: q, ctx: ctx, cancel: cancel, more: make(chan struct{})}
 }
 
-func (g *generation) grow(body []byte) {
+func (g *generation) appendOutput(body []byte) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.output = append(g.output, body...)
@@ -46,27 +46,27 @@
 	close(g.more)
 }
 
-func (g *generation) complete() {
+func (g *generation) markComplete() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.done = true
 }
 
-func (g *generation) whole() bool {
+func (g *generation) isComplete() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.done
 }
 
-// from returns the output from an offset on, whether it has ended, and a channel that closes when there is more.
-func (g *generation) from(offset int64) ([]byte, bool, <-chan struct{}) {
+// outputFrom returns the output from an offset on, whether it has ended, and a channel that is closed when there is more.
+func (g *generation) outputFrom(offset int64) ([]byte, bool, <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.output[min(offset, int64(len(g.output))):], g.ended, g.more
 }
 
-// pause waits until a time; it returns false when the generation is cancelled first.
-func (g *generation) pause(until time.Time) bool {
+// waitUntil waits until a time. It returns false if the generation is cancelled first.
+func (g *generation) waitUntil(until time.Time) bool {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
@@ -77,44 +77,44 @@
 	}
 }
 
-// generate waits for a slot and makes the answer.
+// generate waits for a slot and produces the response.
 func (s *Server) generate(g *generation, r *http.Request) {
-	defer s.streams.keepAWhile(g)
+	defer s.streams.removeLater(g)
 	defer g.end()
 	if s.pool.Acquire(g.ctx) != nil {
-		return // cancelled while it waited: nothing ran
+		return // cancelled while queued: nothing ran
 	}
 	defer s.pool.Release()
 	run := s.log.Start(r)
 	if s.produce(g, run, s.faults.Get()) {
 		run.End(runs.Done)
-		g.complete()
+		g.markComplete()
 	} else {
 		run.End(runs.Cancelled)
 	}
 }
 
-// produce makes the answer; it returns false when the generation is cancelled.
+// produce generates the response. It returns false if the generation is cancelled.
 func (s *Server) produce(g *generation, run *runs.Handle, fault faults.Backend) bool {
 	q := g.request
-	hit := s.cache.lookUp(q.blocks)
-	cached := min(hit*BlockBytes/4, q.promptTokens)
-	fresh := q.promptTokens - cached
+	cachedBlocks := s.cache.lookUp(q.blocks)
+	cached := min(cachedBlocks*BlockBytes/4, q.promptTokens)
+	uncached := q.promptTokens - cached
 	at := time.Now().Add(time.Duration(fault.StallMS) * time.Millisecond)
-	at = at.Add(time.Duration(float64(fresh) / s.config.PrefillRate * float64(time.Second)))
-	if !g.pause(at) {
+	at = at.Add(time.Duration(float64(uncached) / s.config.PrefillRate * float64(time.Second)))
+	if !g.waitUntil(at) {
 		return false
 	}
-	run.AddPrompt(int64(fresh))
+	run.AddPrompt(int64(uncached))
 	s.pool.SetBlocks(s.cache.store(q.blocks))
 	emit := func(body []byte) {
 		_, _ = run.Write(body)
-		g.grow(body)
+		g.appendOutput(body)
 	}
 	var content strings.Builder
 	for i := range q.tokens {
 		at = at.Add(s.stepTime())
-		if !g.pause(at) {
+		if !g.waitUntil(at) {
 			return false
 		}
 		run.AddTokens(1)
@@ -124,10 +124,10 @@
 			content.WriteString(token)
 		}
 	}
-	if finish := q.finish(); q.Stream {
+	if finish := q.finishReason(); q.Stream {
 		emit(append(q.chunk(message{}, &finish, q.usage(cached)), "data: [DONE]\n\n"...))
 	} else {
-		emit(q.whole(content.String(), q.usage(cached)))
+		emit(q.completion(content.String(), q.usage(cached)))
 	}
 	return true
 }
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -11,9 +11,9 @@
 	"goldcrestport/standin/internal/reply"
 )
 
-const keptOrders = 10000
+const maxLoggedOrders = 10000
 
-// Order asks an engine to load or unload a model or an adapter, or to change its role.
+// Order is a request to load or unload a model or an adapter, or to change the engine's role.
 type Order struct {
 	Fence   uint64 `json:"fence"`
 	ID      string `json:"id"`
@@ -31,23 +31,23 @@
 	return (o.Action == "load" || o.Action == "unload") && (o.Kind == "model" || o.Kind == "adapter") && o.Name != ""
 }
 
-// Loaded is a model or an adapter in one version. Several versions may be loaded side by side.
+// Loaded is a loaded version of a model or an adapter. Several versions may be loaded at the same time.
 type Loaded struct {
 	Name    string `json:"name"`
 	Version string `json:"version"`
 }
 
-// Effect is an order that took effect.
+// Effect is an order that was applied.
 type Effect struct {
 	Order
 	AtMS int64 `json:"at_ms"`
 }
 
-// orders applies one order at a time, in the order of their arrival at the lock.
+// orders applies orders one at a time, in the order in which they acquire the lock.
 type orders struct {
-	busy     sync.Mutex // held while an order is applied
-	check    bool
-	loadTime time.Duration
+	applyMu    sync.Mutex // held while an order is applied
+	checkFence bool
+	loadTime   time.Duration
 
 	mu     sync.Mutex
 	fence  uint64
@@ -57,7 +57,7 @@
 }
 
 func newOrders(check bool, loadTime time.Duration) *orders {
-	return &orders{check: check, loadTime: loadTime, loaded: map[string]map[Loaded]bool{"model": {}, "adapter": {}}}
+	return &orders{checkFence: check, loadTime: loadTime, loaded: map[string]map[Loaded]bool{"model": {}, "adapter": {}}}
 }
 
 func (o *orders) post(w http.ResponseWriter, r *http.Request) {
@@ -74,11 +74,11 @@
 	reply.JSON(w, http.StatusOK, map[string]any{"applied": true, "fence": order.Fence})
 }
 
-// apply carries an order out, also when its sender has left; it returns the greatest fence and whether it applied.
+// apply applies an order, even if its sender has disconnected. It returns the greatest fence and whether it applied.
 func (o *orders) apply(order Order) (uint64, bool) {
-	o.busy.Lock()
-	defer o.busy.Unlock()
-	if greatest := o.greatest(order.Fence); o.check && order.Fence < greatest {
+	o.applyMu.Lock()
+	defer o.applyMu.Unlock()
+	if greatest := o.raiseFence(order.Fence); o.checkFence && order.Fence < greatest {
 		return greatest, false
 	}
 	if order.Action == "load" {
@@ -89,7 +89,7 @@
 	switch order.Action {
 	case "load":
 		o.loaded[order.Kind][Loaded{order.Name, order.Version}] = true
-	case "unload": // without a version: all of them
+	case "unload": // without a version: all versions
 		for l := range o.loaded[order.Kind] {
 			if l.Name == order.Name && (order.Version == "" || l.Version == order.Version) {
 				delete(o.loaded[order.Kind], l)
@@ -99,11 +99,11 @@
 		o.role = order.Role
 	}
 	o.log = append(o.log, Effect{order, time.Now().UnixMilli()})
-	o.log = o.log[max(0, len(o.log)-keptOrders):]
+	o.log = o.log[max(0, len(o.log)-maxLoggedOrders):]
 	return o.fence, true
 }
 
-func (o *orders) greatest(fence uint64) uint64 {
+func (o *orders) raiseFence(fence uint64) uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.fence = max(o.fence, fence)
--- a/standin/engine/request.go
+++ b/standin/engine/request.go
@@ -17,10 +17,10 @@
 	maxTokens     = 1 << 20
 )
 
-// text is a message's content: a string, or any other JSON as it stands.
+// text is a message's content: a string, or the raw text of any other JSON value.
 type text string
 
-// UnmarshalJSON reads a content.
+// UnmarshalJSON implements json.Unmarshaler.
 func (t *text) UnmarshalJSON(body []byte) error {
 	var s string
 	if json.Unmarshal(body, &s) != nil {
@@ -41,13 +41,13 @@
 	Exact     bool `json:"gc_exact"`
 }
 
-// request is a parsed request with all that follows from it alone.
+// request is a parsed request and the values derived from it.
 type request struct {
 	chatBody
 	id           string
 	promptTokens int
 	blocks       []string
-	tokens       int // how many will be generated
+	tokens       int // number of tokens to generate
 	answerID     string
 	random       *rand.Rand
 }
@@ -72,23 +72,23 @@
 	q.answerID = "chatcmpl-" + hex.EncodeToString(sum[:12])
 	q.random = rand.New(rand.NewPCG(binary.BigEndian.Uint64(sum[:]), binary.BigEndian.Uint64(sum[8:])))
 	q.tokens = q.MaxTokens
-	if !q.Exact { // log-normal: half of the answers are shorter than an eighth of the most
+	if !q.Exact { // log-normal; the median is one eighth of max_tokens
 		draw := float64(q.MaxTokens) / 8 * math.Exp(1.2*q.random.NormFloat64())
 		q.tokens = int(min(max(draw, 1), float64(q.MaxTokens)))
 	}
 	return q, nil
 }
 
-// token returns the text of the next token; the first one names the request.
+// token returns the text of the next token. The first one includes the request ID.
 func (q *request) token(i int) string {
-	word := fmt.Sprintf(" %06x", q.random.Uint32()>>8)
+	token := fmt.Sprintf(" %06x", q.random.Uint32()>>8)
 	if i == 0 {
-		return "[" + q.id + "]" + word
+		return "[" + q.id + "]" + token
 	}
-	return word
+	return token
 }
 
-func (q *request) finish() string {
+func (q *request) finishReason() string {
 	if q.tokens == q.MaxTokens {
 		return "length"
 	}
@@ -125,24 +125,24 @@
 type answerBody struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
-	Created int64    `json:"created"` // always 0: answers are compared byte for byte
+	Created int64    `json:"created"` // always 0, so that responses can be compared byte for byte
 	Model   string   `json:"model"`
 	Choices []choice `json:"choices"`
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-func (q *request) chunk(delta message, finish *string, use *usage) []byte {
+func (q *request) chunk(delta message, finish *string, tokenUsage *usage) []byte {
 	body, _ := json.Marshal(answerBody{ // strings and numbers always encode
-		ID: q.answerID, Object: "chat.completion.chunk", Model: q.Model, Usage: use,
+		ID: q.answerID, Object: "chat.completion.chunk", Model: q.Model, Usage: tokenUsage,
 		Choices: []choice{{Delta: &delta, FinishReason: finish}},
 	})
 	return []byte("data: " + string(body) + "\n\n")
 }
 
-func (q *request) whole(content string, use *usage) []byte {
-	finish := q.finish()
+func (q *request) completion(content string, tokenUsage *usage) []byte {
+	finish := q.finishReason()
 	body, _ := json.Marshal(answerBody{
-		ID: q.answerID, Object: "chat.completion", Model: q.Model, Usage: use,
+		ID: q.answerID, Object: "chat.completion", Model: q.Model, Usage: tokenUsage,
 		Choices: []choice{{Message: &message{"assistant", content}, FinishReason: &finish}},
 	})
 	return append(body, '\n')
--- a/standin/engine/streams.go
+++ b/standin/engine/streams.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// keepStreams is how long a generation's output can be read after its end.
-const keepStreams = 30 * time.Second
+// streamRetention is how long a generation's output remains readable after its end.
+const streamRetention = 30 * time.Second
 
-// streams finds generations by their id.
+// streams indexes generations by ID.
 type streams struct {
-	mu   sync.Mutex
-	born int64 // keeps ids apart from those before a restart
-	last int64
-	byID map[string]*generation
+	mu         sync.Mutex
+	startTime  int64 // start time in Unix nanoseconds; keeps IDs unique across restarts
+	lastNumber int64
+	byID       map[string]*generation
 }
 
 func newStreams() *streams {
-	return &streams{born: time.Now().UnixNano(), byID: map[string]*generation{}}
+	return &streams{startTime: time.Now().UnixNano(), byID: map[string]*generation{}}
 }
 
 func (t *streams) add(q *request) *generation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.last++
-	g := newGeneration(fmt.Sprintf("stream-%x-%d", t.born, t.last), q)
+	t.lastNumber++
+	g := newGeneration(fmt.Sprintf("stream-%x-%d", t.startTime, t.lastNumber), q)
 	t.byID[g.id] = g
 	return g
 }
@@ -36,8 +36,8 @@
 	return t.byID[id]
 }
 
-func (t *streams) keepAWhile(g *generation) {
-	time.AfterFunc(keepStreams, func() {
+func (t *streams) removeLater(g *generation) {
+	time.AfterFunc(streamRetention, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		delete(t.byID, g.id)
--- a/standin/faults/cut.go
+++ b/standin/faults/cut.go
@@ -6,13 +6,13 @@
 	"goldcrestport/standin/internal/reply"
 )
 
-// Cutter writes an answer's body and cuts the connection after a number of bytes.
+// Cutter writes a response body and closes the connection after a number of bytes.
 type Cutter struct {
-	w    http.ResponseWriter
-	left int64 // negative: never cut
+	w         http.ResponseWriter
+	remaining int64 // bytes until the cut; negative: never
 }
 
-// NewCutter returns a cutter; after of 0 never cuts.
+// NewCutter returns a Cutter that closes the connection after the given number of bytes; 0 means never.
 func NewCutter(w http.ResponseWriter, after int64) *Cutter {
 	if after == 0 {
 		after = -1
@@ -20,13 +20,13 @@
 	return &Cutter{w, after}
 }
 
-// Send writes and flushes bytes. It returns false when the connection was cut or has failed.
+// Send writes and flushes body. It returns false if it closed the connection or if the write failed.
 func (c *Cutter) Send(body []byte) bool {
-	cut := c.left >= 0 && int64(len(body)) >= c.left
+	cut := c.remaining >= 0 && int64(len(body)) >= c.remaining
 	if cut {
-		body = body[:c.left]
-	} else if c.left >= 0 {
-		c.left -= int64(len(body))
+		body = body[:c.remaining]
+	} else if c.remaining >= 0 {
+		c.remaining -= int64(len(body))
 	}
 	_, err := c.w.Write(body)
 	if err == nil {
--- a/standin/faults/faults.go
+++ b/standin/faults/faults.go
@@ -1,4 +1,4 @@
-// Package faults holds the faults of a stand-in, which are set at run time over HTTP.
+// Package faults holds the fault injection settings of a stand-in, which can be changed at run time over HTTP.
 package faults
 
 import (
@@ -12,54 +12,54 @@
 	"goldcrestport/standin/internal/reply"
 )
 
-// Settings is a set of faults that can be checked and names its seed.
+// Settings is a set of fault settings that can be validated and provides a random seed.
 type Settings interface {
 	Check() error
 	RandomSeed() uint64
 }
 
-// Box holds the settings in force and the seeded chance that goes with them.
+// Box holds the current settings and the random source seeded from them.
 type Box[T Settings] struct {
 	mu      sync.Mutex
-	now     T
+	current T
 	random  *rand.Rand
 	changed chan struct{}
 }
 
-// NewBox returns a box with no faults set.
+// NewBox returns a Box that injects no faults.
 func NewBox[T Settings]() *Box[T] {
 	return &Box[T]{random: rand.New(rand.NewPCG(0, 0)), changed: make(chan struct{})}
 }
 
-// Get returns the settings in force.
+// Get returns the current settings.
 func (b *Box[T]) Get() T {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.now
+	return b.current
 }
 
-// Set replaces the settings and starts the chance anew from their seed.
+// Set validates and replaces the settings, and reseeds the random source.
 func (b *Box[T]) Set(settings T) error {
 	if err := settings.Check(); err != nil {
 		return err
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.now = settings
+	b.current = settings
 	b.random = rand.New(rand.NewPCG(settings.RandomSeed(), 0))
 	close(b.changed)
 	b.changed = make(chan struct{})
 	return nil
 }
 
-// Changed returns a channel that closes at the next change of the settings.
+// Changed returns a channel that is closed at the next change of the settings.
 func (b *Box[T]) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
-// Chance is true for a fraction of the calls.
+// Chance returns true at random for the given fraction of calls.
 func (b *Box[T]) Chance(fraction float64) bool {
 	if fraction <= 0 {
 		return false
@@ -69,7 +69,7 @@
 	return b.random.Float64() < fraction
 }
 
-// ServeHTTP shows the settings on GET and replaces them on PUT.
+// ServeHTTP returns the settings on GET and replaces them on PUT.
 func (b *Box[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPut && !b.put(w, r) {
 		return
@@ -96,19 +96,19 @@
 	return err == nil
 }
 
-// Backend is the set of faults of a backend server.
+// Backend selects the faults that a backend server injects.
 type Backend struct {
 	// Fail is the fraction of requests answered with status 500.
 	Fail float64 `json:"fail"`
-	// StallMS is how long a run stands still while it holds its slot, before its first byte.
+	// StallMS delays the first byte of each run, which occupies its slot meanwhile.
 	StallMS int64 `json:"stall_ms"`
-	// CutAfterBytes cuts each answer's connection after so many bytes of body; 0 cuts none.
+	// CutAfterBytes closes each response's connection after this many bytes of its body; 0 means never.
 	CutAfterBytes int64 `json:"cut_after_bytes"`
-	// Seed starts the chance.
+	// Seed seeds the random choice of the requests that fail.
 	Seed uint64 `json:"seed"`
 }
 
-// Check tells whether the settings make sense.
+// Check returns an error if a setting is out of range.
 func (f Backend) Check() error {
 	if !Fraction(f.Fail) || f.StallMS < 0 || f.CutAfterBytes < 0 {
 		return errors.New("fail must lie in 0..1, stall_ms and cut_after_bytes must not be negative")
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// RandomSeed returns the seed.
+// RandomSeed implements Settings.
 func (f Backend) RandomSeed() uint64 { return f.Seed }
 
-// Fraction tells whether x lies in 0..1.
+// Fraction reports whether x is in the range 0..1.
 func Fraction(x float64) bool { return x >= 0 && x <= 1 }
--- a/standin/internal/reply/reply.go
+++ b/standin/internal/reply/reply.go
@@ -1,4 +1,4 @@
-// Package reply holds what the stand-ins share in answering HTTP calls.
+// Package reply holds helpers for HTTP handlers that the stand-ins share.
 package reply
 
 import (
@@ -10,7 +10,7 @@
 	"strconv"
 )
 
-// JSON answers with a status and a value as one line of JSON.
+// JSON responds with a status and a value encoded as one line of JSON.
 func JSON(w http.ResponseWriter, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -24,33 +24,33 @@
 	_, _ = w.Write(body)
 }
 
-// Error answers with a status and a reason.
+// Error responds with a status and a reason.
 func Error(w http.ResponseWriter, status int, reason string) {
 	JSON(w, status, map[string]string{"error": reason})
 }
 
-// Abort closes the caller's connection without ending the answer.
-func Abort(w http.ResponseWriter) { _ = take(w).Close() }
+// Abort closes the client's connection without completing the response.
+func Abort(w http.ResponseWriter) { _ = hijack(w).Close() }
 
-// Reset resets the caller's connection without ending the answer.
+// Reset resets the client's connection without completing the response.
 func Reset(w http.ResponseWriter) {
-	conn := take(w)
+	conn := hijack(w)
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 	_ = conn.Close()
 }
 
-// take takes the connection from net/http.
-func take(w http.ResponseWriter) net.Conn {
+// hijack hijacks the connection from net/http.
+func hijack(w http.ResponseWriter) net.Conn {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		panic(http.ErrAbortHandler) // the way net/http gives for a connection that can't be hijacked
+		panic(http.ErrAbortHandler) // aborts the response, as net/http provides for a connection that can't be hijacked
 	}
 	return conn
 }
 
-// Body reads a request's body of at most limit bytes; on failure it returns the status to answer with.
+// Body reads a request body of at most limit bytes. On failure it returns the status to respond with.
 func Body(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, int) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -63,7 +63,7 @@
 	return body, 0
 }
 
-// Uint reads a whole number from the query; present is false when it is absent.
+// Uint parses a non-negative integer from the query; present is false if the parameter is absent.
 func Uint(r *http.Request, name string) (n uint64, present bool, err error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
--- a/standin/kvstore/kvstore.go
+++ b/standin/kvstore/kvstore.go
@@ -1,7 +1,7 @@
-// Package kvstore is a stand-in for the users' platform's key-value store,
-// written from the users' pages: items with a store-wide revision, ranges in
-// pages, watches, conditional writes and leases, with the faults that the
-// pages name.
+// Package kvstore is a stand-in for the key-value store of the users' platform,
+// written from the users' documentation: items with a store-wide revision,
+// paginated ranges, watches, conditional writes and leases, and the faults that
+// the documentation describes.
 package kvstore
 
 import (
@@ -15,7 +15,7 @@
 	"goldcrestport/standin/internal/reply"
 )
 
-// Item is one key as readers see it.
+// Item is one key and its value as returned to clients.
 type Item struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
@@ -25,27 +25,27 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// Faults are what goes wrong at the store. The zero value is a sound store.
+// Faults selects the faults that the store injects. The zero value injects none.
 type Faults struct {
-	// Status answers every call with it and does nothing, such as 503 or 429.
+	// Status, such as 503 or 429, is returned for every call, which then has no effect.
 	Status int
-	// Silent takes calls and never answers.
+	// Silent accepts calls and never responds.
 	Silent bool
-	// LoseAnswers does what a call says and closes the connection.
+	// LoseAnswers applies each call, then closes the connection without a response.
 	LoseAnswers bool
-	// Late does a write only after this time, without an answer.
+	// Late delays each write by this time and sends no response to it.
 	Late time.Duration
-	// DeafWatches tell no changes until their time is over.
+	// DeafWatches makes watches report no changes until they time out.
 	DeafWatches bool
 }
 
-// pageItems is the number of items in a page of a range.
-const pageItems = 3
+// pageSize is the maximum number of items in one page of a range.
+const pageSize = 3
 
-// maxWait bounds a watch.
+// maxWait is the maximum duration of a watch.
 const maxWait = 30 * time.Second
 
-// Server is the stand-in.
+// Server is an in-memory key-value store served over HTTP.
 type Server struct {
 	mux *http.ServeMux
 
@@ -53,7 +53,7 @@
 	revision uint64
 	items    map[string]Item
 	history  []Item
-	// compacted is the revision up to which the history is gone.
+	// compacted is the revision up to which the history has been discarded.
 	compacted uint64
 	leases    map[uint64]lease
 	nextLease uint64
@@ -65,47 +65,47 @@
 // New returns an empty store.
 func New() *Server {
 	s := &Server{mux: http.NewServeMux(), items: map[string]Item{}, leases: map[uint64]lease{}, changed: make(chan struct{}), calls: map[string]int{}}
-	s.mux.HandleFunc("GET /api/kv-key", s.key)
-	s.mux.HandleFunc("GET /api/kv-range", s.list)
+	s.mux.HandleFunc("GET /api/kv-key", s.getKey)
+	s.mux.HandleFunc("GET /api/kv-range", s.listRange)
 	s.mux.HandleFunc("GET /api/kv-watch", s.watch)
-	s.mux.HandleFunc("POST /api/kv-txn", s.txn)
-	s.mux.HandleFunc("POST /api/kv-lease", s.grant)
-	s.mux.HandleFunc("POST /api/kv-keep/{id}", s.keep)
-	s.mux.HandleFunc("DELETE /api/kv-lease-end/{id}", s.end)
+	s.mux.HandleFunc("POST /api/kv-txn", s.transact)
+	s.mux.HandleFunc("POST /api/kv-lease", s.grantLease)
+	s.mux.HandleFunc("POST /api/kv-keep/{id}", s.renewLease)
+	s.mux.HandleFunc("DELETE /api/kv-lease-end/{id}", s.endLease)
 	s.mux.HandleFunc("PUT /admin/items/{key...}", s.adminPut)
 	s.mux.HandleFunc("DELETE /admin/items/{key...}", s.adminRemove)
 	return s
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Calls returns how often the path was called.
+// Calls returns the number of calls to the path.
 func (s *Server) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// Put writes as the operators and backend servers do.
+// Put writes a key on behalf of an operator or a backend server.
 func (s *Server) Put(key string, value []byte) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.write([]Item{{Key: key, Value: value}}, nil)
 }
 
-// Remove deletes as the store does when a lease ends.
+// Remove deletes a key, as the store does when a lease expires.
 func (s *Server) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.write(nil, []string{key})
 }
 
-// adminPut writes a key as the operators and backend servers do.
+// adminPut writes a key on behalf of an operator or a backend server.
 func (s *Server) adminPut(w http.ResponseWriter, r *http.Request) {
 	value, status := reply.Body(w, r, 1<<20)
 	if status != 0 {
@@ -121,14 +121,14 @@
 	reply.JSON(w, http.StatusOK, struct{}{})
 }
 
-// Compact drops the history.
+// Compact discards the history, so that watches from older revisions fail with 410.
 func (s *Server) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.compacted = nil, s.revision
 }
 
-// Items returns the items below the prefix by their keys.
+// Items returns the items whose keys have the prefix, indexed by key.
 func (s *Server) Items(prefix string) map[string]Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +142,7 @@
 	return out
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.calls[r.URL.Path]++
@@ -157,17 +157,17 @@
 	case f.Late > 0 && r.Method != http.MethodGet:
 		body := r.Clone(r.Context())
 		data, _ := reply.Body(w, r, 1<<20)
-		time.AfterFunc(f.Late, func() { s.replay(body, data) })
+		time.AfterFunc(f.Late, func() { s.applyLate(body, data) })
 		reply.Abort(w)
 	case f.LoseAnswers:
-		s.mux.ServeHTTP(&discard{header: http.Header{}}, r)
+		s.mux.ServeHTTP(&discardWriter{header: http.Header{}}, r)
 		reply.Abort(w)
 	default:
 		s.mux.ServeHTTP(w, r)
 	}
 }
 
-func (s *Server) key(w http.ResponseWriter, r *http.Request) {
+func (s *Server) getKey(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	item, known := s.items[r.URL.Query().Get("key")]
 	revision := s.revision
@@ -182,7 +182,7 @@
 	}{item, revision})
 }
 
-func (s *Server) list(w http.ResponseWriter, r *http.Request) {
+func (s *Server) listRange(w http.ResponseWriter, r *http.Request) {
 	prefix, after := r.URL.Query().Get("pathPrefix"), r.URL.Query().Get("after")
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,8 +193,8 @@
 		}
 	}
 	slices.SortFunc(page, func(a, b Item) int { return strings.Compare(a.Key, b.Key) })
-	more := len(page) > pageItems
-	reply.JSON(w, http.StatusOK, map[string]any{"entries": page[:min(len(page), pageItems)], "hasMore": more, "currentRev": s.revision})
+	more := len(page) > pageSize
+	reply.JSON(w, http.StatusOK, map[string]any{"entries": page[:min(len(page), pageSize)], "hasMore": more, "currentRev": s.revision})
 }
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
@@ -230,7 +230,7 @@
 	}
 }
 
-// since returns the changes below the prefix. The caller holds mu.
+// since returns the changes to keys with the prefix after a revision. The caller must hold mu.
 func (s *Server) since(prefix string, after uint64) []Item {
 	var events []Item
 	if s.faults.DeafWatches {
--- a/standin/kvstore/leases.go
+++ b/standin/kvstore/leases.go
@@ -9,19 +9,19 @@
 	"goldcrestport/standin/internal/reply"
 )
 
-// lease keeps keys while it is renewed.
+// lease keeps its keys in the store for as long as it is renewed.
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
-// renewed returns the lease as of a renewal now.
+// renewed returns the lease with its expiry extended from now.
 func (l lease) renewed() lease { return lease{l.ttl, time.Now().Add(l.ttl)} }
 
-// expire removes the keys of leases that ended. The caller holds mu.
+// expire removes expired leases and their keys. The caller must hold mu.
 func (s *Server) expire() {
-	for id, one := range s.leases {
-		if time.Now().After(one.ends) {
+	for id, l := range s.leases {
+		if time.Now().After(l.expires) {
 			s.dropLease(id)
 		}
 	}
@@ -40,7 +40,7 @@
 	}
 }
 
-func (s *Server) grant(w http.ResponseWriter, r *http.Request) {
+func (s *Server) grantLease(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		TTLMs int64 `json:"ttlMs"`
 	}
@@ -55,13 +55,13 @@
 	reply.JSON(w, http.StatusOK, map[string]any{"lease": s.nextLease, "ttlMs": body.TTLMs})
 }
 
-func (s *Server) keep(w http.ResponseWriter, r *http.Request) {
-	s.onLease(w, r, func(id uint64) { s.leases[id] = s.leases[id].renewed() })
+func (s *Server) renewLease(w http.ResponseWriter, r *http.Request) {
+	s.withLease(w, r, func(id uint64) { s.leases[id] = s.leases[id].renewed() })
 }
 
-func (s *Server) end(w http.ResponseWriter, r *http.Request) { s.onLease(w, r, s.dropLease) }
+func (s *Server) endLease(w http.ResponseWriter, r *http.Request) { s.withLease(w, r, s.dropLease) }
 
-func (s *Server) onLease(w http.ResponseWriter, r *http.Request, do func(uint64)) {
+func (s *Server) withLease(w http.ResponseWriter, r *http.Request, action func(uint64)) {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,6 +69,6 @@
 		reply.Error(w, http.StatusNotFound, "no such lease")
 		return
 	}
-	do(id)
+	action(id)
 	reply.JSON(w, http.StatusOK, map[string]int64{"ttlMs": 1000})
 }
--- a/standin/kvstore/write.go
+++ b/standin/kvstore/write.go
@@ -8,7 +8,7 @@
 	"goldcrestport/standin/internal/reply"
 )
 
-// write applies changes at one revision. The caller holds mu.
+// write applies puts and deletions at a single new revision. The caller must hold mu.
 func (s *Server) write(puts []Item, remove []string) uint64 {
 	s.revision++
 	for _, p := range puts {
@@ -30,14 +30,14 @@
 	return s.revision
 }
 
-// transaction is the body of a conditional write.
+// transaction is the request body of a conditional write.
 type transaction struct {
 	ExpectedRev []Item   `json:"expectedRev"`
 	Puts        []Item   `json:"puts"`
 	Remove      []string `json:"remove"`
 }
 
-func (s *Server) txn(w http.ResponseWriter, r *http.Request) {
+func (s *Server) transact(w http.ResponseWriter, r *http.Request) {
 	data, status := reply.Body(w, r, 1<<20)
 	if status != 0 {
 		reply.Error(w, status, "body")
@@ -73,21 +73,21 @@
 	reply.JSON(w, http.StatusOK, map[string]uint64{"revision": s.write(t.Puts, t.Remove)})
 }
 
-// replay does a late write.
-func (s *Server) replay(r *http.Request, data []byte) {
+// applyLate applies a write that Faults.Late delayed.
+func (s *Server) applyLate(r *http.Request, data []byte) {
 	if strings.HasSuffix(r.URL.Path, "kv-txn") {
-		s.apply(&discard{header: http.Header{}}, data)
+		s.apply(&discardWriter{header: http.Header{}}, data)
 	}
 }
 
-// discard is a response that nobody gets.
-type discard struct{ header http.Header }
+// discardWriter is a response writer that drops the response.
+type discardWriter struct{ header http.Header }
 
 // Header implements http.ResponseWriter.
-func (d *discard) Header() http.Header { return d.header }
+func (d *discardWriter) Header() http.Header { return d.header }
 
 // Write implements http.ResponseWriter.
-func (d *discard) Write(b []byte) (int, error) { return len(b), nil }
+func (d *discardWriter) Write(b []byte) (int, error) { return len(b), nil }
 
 // WriteHeader implements http.ResponseWriter.
-func (d *discard) WriteHeader(int) {}
+func (d *discardWriter) WriteHeader(int) {}
--- a/standin/lag/lag.go
+++ b/standin/lag/lag.go
@@ -1,4 +1,4 @@
-// Package lag delays what readers see, as lists and reports of a real platform lag behind the truth.
+// Package lag delays the visibility of changes, as the lists and reports of a real platform lag behind its state.
 package lag
 
 import (
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Queue holds items back for a fixed time. It is not safe for concurrent use.
+// Queue delays items by a fixed time. It is not safe for concurrent use.
 type Queue[T any] struct {
 	delay time.Duration
-	items []timed[T]
+	items []delayedItem[T]
 }
 
-type timed[T any] struct {
+type delayedItem[T any] struct {
 	due  time.Time
 	item T
 }
 
-// NewQueue returns a queue that holds every item back for delay.
+// NewQueue returns a queue that delays every item by delay.
 func NewQueue[T any](delay time.Duration) *Queue[T] { return &Queue[T]{delay: delay} }
 
-// Push adds an item.
+// Push appends an item, which is due after the queue's delay.
 func (q *Queue[T]) Push(item T) {
-	q.items = append(q.items, timed[T]{time.Now().Add(q.delay), item})
+	q.items = append(q.items, delayedItem[T]{time.Now().Add(q.delay), item})
 }
 
-// Due removes and returns the items whose time has come, the oldest first.
+// Due removes and returns the items that are due, oldest first.
 func (q *Queue[T]) Due() []T {
 	now, n := time.Now(), 0
 	for n < len(q.items) && !q.items[n].due.After(now) {
@@ -42,37 +42,37 @@
 	return out
 }
 
-// Value is a value whose readers see the state of some time ago. It is safe for concurrent use.
+// Value is a value whose changes become visible after a delay. It is safe for concurrent use.
 type Value[T any] struct {
-	mu    sync.Mutex
-	delay time.Duration
-	queue *Queue[T]
-	seen  T
+	mu      sync.Mutex
+	delay   time.Duration
+	queue   *Queue[T]
+	visible T
 }
 
-// NewValue returns a lagging value that shows initial until the first change is old enough.
+// NewValue returns a value that reads as initial until the first change becomes visible.
 func NewValue[T any](delay time.Duration, initial T) *Value[T] {
-	return &Value[T]{delay: delay, queue: NewQueue[T](delay), seen: initial}
+	return &Value[T]{delay: delay, queue: NewQueue[T](delay), visible: initial}
 }
 
-// Set changes the value.
+// Set changes the value; readers see the change after the delay.
 func (v *Value[T]) Set(value T) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.queue.Push(value)
-	v.settle()
+	v.applyDue()
 }
 
-// Get returns the value as it was some time ago, and that time.
+// Get returns the visible value and the time as of which it was current.
 func (v *Value[T]) Get() (T, time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.settle()
-	return v.seen, time.Now().Add(-v.delay)
+	v.applyDue()
+	return v.visible, time.Now().Add(-v.delay)
 }
 
-func (v *Value[T]) settle() {
+func (v *Value[T]) applyDue() {
 	if due := v.queue.Due(); len(due) > 0 {
-		v.seen = due[len(due)-1]
+		v.visible = due[len(due)-1]
 	}
 }
--- a/standin/platform/calls.go
+++ b/standin/platform/calls.go
@@ -7,7 +7,7 @@
 	"goldcrestport/standin/internal/reply"
 )
 
-func problem(status int, reason string) answer {
+func errorAnswer(status int, reason string) answer {
 	return answer{status, map[string]string{"error": reason}}
 }
 
@@ -33,13 +33,13 @@
 func (s *Server) get(r *http.Request, _ []byte) answer {
 	entry, found := s.store.get(r.PathValue("key"))
 	if !found {
-		return problem(http.StatusNotFound, "no such key")
+		return errorAnswer(http.StatusNotFound, "no such key")
 	}
 	return answer{http.StatusOK, entry}
 }
 
-// expected reads the version a caller expects; nil when it gives none.
-func expected(r *http.Request) (*uint64, error) {
+// expectedVersion parses the version that a conditional write expects; nil if the caller sent none.
+func expectedVersion(r *http.Request) (*uint64, error) {
 	version, present, err := reply.Uint(r, "version")
 	if !present || err != nil {
 		return nil, err
@@ -48,45 +48,45 @@
 }
 
 func (s *Server) put(r *http.Request, body []byte) answer {
-	expect, err := expected(r)
+	expect, err := expectedVersion(r)
 	if err != nil || r.PathValue("key") == "" {
-		return problem(http.StatusBadRequest, "a key and a whole number as version are needed")
+		return errorAnswer(http.StatusBadRequest, "a key and a whole number as version are needed")
 	}
 	return writeAnswer(s.store.put(r.PathValue("key"), body, r.URL.Query().Get("lease"), expect))
 }
 
 func (s *Server) remove(r *http.Request, _ []byte) answer {
-	expect, err := expected(r)
+	expect, err := expectedVersion(r)
 	if err != nil {
-		return problem(http.StatusBadRequest, "version must be a whole number")
+		return errorAnswer(http.StatusBadRequest, "version must be a whole number")
 	}
 	return writeAnswer(s.store.remove(r.PathValue("key"), expect))
 }
 
-func writeAnswer(version uint64, how outcome) answer {
-	switch how {
+func writeAnswer(version uint64, result outcome) answer {
+	switch result {
 	case conflict:
 		return answer{http.StatusConflict, versionBody{version}}
 	case noKey:
-		return problem(http.StatusNotFound, "no such key")
+		return errorAnswer(http.StatusNotFound, "no such key")
 	case noLease:
-		return problem(http.StatusNotFound, "no such lease")
+		return errorAnswer(http.StatusNotFound, "no such lease")
 	}
 	return answer{http.StatusOK, versionBody{version}}
 }
 
-// watch waits until something under the prefix changes, the time is up, or the platform goes down.
+// watch waits until a key with the prefix changes, the timeout expires, or the platform goes down.
 func (s *Server) watch(r *http.Request, _ []byte) answer {
 	after, _, err1 := reply.Uint(r, "after")
 	timeoutMS, present, err2 := reply.Uint(r, "timeout_ms")
 	if err1 != nil || err2 != nil {
-		return problem(http.StatusBadRequest, "after and timeout_ms must be whole numbers")
+		return errorAnswer(http.StatusBadRequest, "after and timeout_ms must be whole numbers")
 	}
 	timeout := defaultWatch
 	if present {
 		timeout = time.Duration(min(timeoutMS, uint64(maxWatch.Milliseconds()))) * time.Millisecond
 	}
-	s.meter.watchStarted()
+	s.meter.countWatch()
 	prefix := r.URL.Query().Get("prefix")
 	w := s.store.watch(prefix)
 	defer s.store.unwatch(w)
@@ -115,7 +115,7 @@
 func (s *Server) grant(r *http.Request, _ []byte) answer {
 	ttl, _, err := reply.Uint(r, "ttl_ms")
 	if err != nil || ttl == 0 || ttl > uint64(maxTTL.Milliseconds()) {
-		return problem(http.StatusBadRequest, "ttl_ms must be a whole number of at most a day")
+		return errorAnswer(http.StatusBadRequest, "ttl_ms must be a whole number of at most a day")
 	}
 	id := s.store.grant(time.Duration(ttl) * time.Millisecond)
 	return answer{http.StatusOK, leaseBody{id, int64(ttl)}}
@@ -124,14 +124,14 @@
 func (s *Server) keepAlive(r *http.Request, _ []byte) answer {
 	ttl, found := s.store.keepAlive(r.PathValue("id"))
 	if !found {
-		return problem(http.StatusNotFound, "no such lease")
+		return errorAnswer(http.StatusNotFound, "no such lease")
 	}
 	return answer{http.StatusOK, leaseBody{r.PathValue("id"), ttl.Milliseconds()}}
 }
 
 func (s *Server) revoke(r *http.Request, _ []byte) answer {
 	if !s.store.revoke(r.PathValue("id")) {
-		return problem(http.StatusNotFound, "no such lease")
+		return errorAnswer(http.StatusNotFound, "no such lease")
 	}
 	return answer{http.StatusOK, struct{}{}}
 }
@@ -147,7 +147,7 @@
 func (s *Server) putInstance(r *http.Request, body []byte) answer {
 	instance, err := parseInstance(r.PathValue("id"), body)
 	if err != nil {
-		return problem(http.StatusBadRequest, err.Error())
+		return errorAnswer(http.StatusBadRequest, err.Error())
 	}
 	s.instances.set(instance.ID, instance)
 	return answer{http.StatusOK, instance}
--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -12,7 +12,7 @@
 	"goldcrestport/standin/lag"
 )
 
-// Instance is one process in the list of instances.
+// Instance is one entry in the list of instances.
 type Instance struct {
 	ID         string `json:"id"`
 	Role       string `json:"role"`
@@ -38,44 +38,44 @@
 }
 
 type instanceChange struct {
-	id  string
-	now *Instance // nil: deleted
+	id       string
+	instance *Instance // nil: deleted
 }
 
-// instances is the list, whose readers see the state of some time ago.
+// instances is the list of instances. Readers see its state as of delay ago.
 type instances struct {
-	mu    sync.Mutex
-	delay time.Duration
-	queue *lag.Queue[instanceChange]
-	seen  map[string]Instance
+	mu      sync.Mutex
+	delay   time.Duration
+	queue   *lag.Queue[instanceChange]
+	visible map[string]Instance
 }
 
 func newInstances(delay time.Duration) *instances {
-	return &instances{delay: delay, queue: lag.NewQueue[instanceChange](delay), seen: map[string]Instance{}}
+	return &instances{delay: delay, queue: lag.NewQueue[instanceChange](delay), visible: map[string]Instance{}}
 }
 
-func (l *instances) set(id string, now *Instance) {
+func (l *instances) set(id string, instance *Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.queue.Push(instanceChange{id, now})
-	l.settle()
+	l.queue.Push(instanceChange{id, instance})
+	l.applyDue()
 }
 
 func (l *instances) list() ([]Instance, time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.settle()
-	out := slices.AppendSeq([]Instance{}, maps.Values(l.seen))
+	l.applyDue()
+	out := slices.AppendSeq([]Instance{}, maps.Values(l.visible))
 	slices.SortFunc(out, func(a, b Instance) int { return strings.Compare(a.ID, b.ID) })
 	return out, time.Now().Add(-l.delay)
 }
 
-func (l *instances) settle() {
+func (l *instances) applyDue() {
 	for _, c := range l.queue.Due() {
-		if c.now == nil {
-			delete(l.seen, c.id)
+		if c.instance == nil {
+			delete(l.visible, c.id)
 		} else {
-			l.seen[c.id] = *c.now
+			l.visible[c.id] = *c.instance
 		}
 	}
 }
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,5 +1,5 @@
 // Package platform is a stand-in for the platform: a key-value service with compare-and-swap, leases and watches,
-// and a lagging list of instances. It enforces rates, counts calls and shows faults.
+// and a list of instances that lags. It enforces rate limits, counts calls and injects faults.
 package platform
 
 import (
@@ -25,24 +25,24 @@
 	ListLag         time.Duration
 }
 
-// DefaultConfig returns the usual settings.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{WritesPerSecond: 500, ReadsPerSecond: 2000, ListLag: time.Second}
 }
 
-// Faults is the set of faults of a platform.
+// Faults selects the faults that a platform injects.
 type Faults struct {
-	// Down closes the connection of every call without an answer; watches that wait are cut too.
+	// Down closes the connection of every call without a response, including watches in progress.
 	Down bool `json:"down"`
 	// LatencyMS delays each call before it takes effect.
 	LatencyMS int64 `json:"latency_ms"`
-	// LoseAnswers is the fraction of calls that take effect without an answer.
+	// LoseAnswers is the fraction of calls that take effect but get no response.
 	LoseAnswers float64 `json:"lose_answers"`
-	// Seed starts the chance.
+	// Seed seeds the random choice of the calls that lose their response.
 	Seed uint64 `json:"seed"`
 }
 
-// Check tells whether the settings make sense.
+// Check returns an error if a setting is out of range.
 func (f Faults) Check() error {
 	if !faults.Fraction(f.LoseAnswers) || f.LatencyMS < 0 {
 		return errors.New("lose_answers must lie in 0..1, latency_ms must not be negative")
@@ -50,10 +50,10 @@
 	return nil
 }
 
-// RandomSeed returns the seed.
+// RandomSeed implements faults.Settings.
 func (f Faults) RandomSeed() uint64 { return f.Seed }
 
-// Server is the stand-in.
+// Server serves the platform's API over HTTP.
 type Server struct {
 	mux       *http.ServeMux
 	store     *store
@@ -72,55 +72,55 @@
 	return s
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
 func (s *Server) routes() {
-	s.call("GET /v1/kv", read, s.list)
-	s.call("GET /v1/kv/{key...}", read, s.get)
-	s.call("PUT /v1/kv/{key...}", write, s.put)
-	s.call("DELETE /v1/kv/{key...}", write, s.remove)
-	s.call("GET /v1/watch", read, s.watch)
-	s.call("POST /v1/leases", write, s.grant)
-	s.call("POST /v1/leases/{id}", write, s.keepAlive)
-	s.call("DELETE /v1/leases/{id}", write, s.revoke)
-	s.call("GET /v1/instances", read, s.listInstances)
-	s.call("PUT /v1/instances/{id}", environment, s.putInstance)
-	s.call("DELETE /v1/instances/{id}", environment, s.removeInstance)
+	s.handle("GET /v1/kv", read, s.list)
+	s.handle("GET /v1/kv/{key...}", read, s.get)
+	s.handle("PUT /v1/kv/{key...}", write, s.put)
+	s.handle("DELETE /v1/kv/{key...}", write, s.remove)
+	s.handle("GET /v1/watch", read, s.watch)
+	s.handle("POST /v1/leases", write, s.grant)
+	s.handle("POST /v1/leases/{id}", write, s.keepAlive)
+	s.handle("DELETE /v1/leases/{id}", write, s.revoke)
+	s.handle("GET /v1/instances", read, s.listInstances)
+	s.handle("PUT /v1/instances/{id}", unmetered, s.putInstance)
+	s.handle("DELETE /v1/instances/{id}", unmetered, s.removeInstance)
 	s.mux.Handle("GET /admin/faults", s.faults)
 	s.mux.Handle("PUT /admin/faults", s.faults)
 	s.mux.HandleFunc("GET /admin/counters", func(w http.ResponseWriter, _ *http.Request) {
 		counters := s.meter.counters()
-		counters.WatchesWaiting = s.store.waiting()
+		counters.WatchesWaiting = s.store.watcherCount()
 		reply.JSON(w, http.StatusOK, counters)
 	})
 }
 
-// kind is how a call counts.
-type kind int
+// callKind determines how a call is counted and which faults affect it.
+type callKind int
 
 const (
-	read        kind = iota
-	write            // counted as a write
-	environment      // not counted, and only "down" touches it
+	read      callKind = iota
+	write              // counted as a write
+	unmetered          // not counted or rate limited; only the fault "down" affects it
 )
 
-// answer is what a call is answered with; status 0 closes the connection.
+// answer is the response to a call; status 0 closes the connection without a response.
 type answer struct {
 	status int
 	body   any
 }
 
-// call registers a handler behind the rates and the faults.
-func (s *Server) call(pattern string, k kind, handle func(*http.Request, []byte) answer) {
+// handle registers a handler that is subject to the rate limits and the injected faults.
+func (s *Server) handle(pattern string, k callKind, handle func(*http.Request, []byte) answer) {
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		fault := s.faults.Get()
 		if fault.Down {
-			s.meter.dropped()
+			s.meter.countDropped()
 			reply.Abort(w)
 			return
 		}
-		if k != environment && !s.meter.admit(k == write, r.Header.Get("X-Caller")) {
+		if k != unmetered && !s.meter.admit(k == write, r.Header.Get("X-Caller")) {
 			w.Header().Set("Retry-After", "1")
 			reply.Error(w, http.StatusTooManyRequests, "over the rate")
 			return
@@ -130,11 +130,11 @@
 			reply.Error(w, status, "the body can't be read")
 			return
 		}
-		if k != environment {
+		if k != unmetered {
 			time.Sleep(time.Duration(fault.LatencyMS) * time.Millisecond)
 		}
 		out := handle(r, body)
-		if out.status == 0 || k != environment && s.faults.Chance(fault.LoseAnswers) {
+		if out.status == 0 || k != unmetered && s.faults.Chance(fault.LoseAnswers) {
 			reply.Abort(w)
 			return
 		}
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -16,7 +16,7 @@
 func start(t *testing.T, config Config) func(method, path, body string) (int, string) {
 	server := httptest.NewServer(New(config))
 	t.Cleanup(server.Close)
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}} // no silent repeats
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}} // avoids transparent retries by net/http
 	return func(method, path, body string) (int, string) {
 		r, err := http.NewRequest(method, server.URL+path, strings.NewReader(body))
 		if err != nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestLostAnswerTakesEffect(t *testing.T) {
+func TestCallWithLostResponseTakesEffect(t *testing.T) {
 	c, call := quicktest.New(t), start(t, DefaultConfig())
 	call("PUT", "/admin/faults", `{"lose_answers":1}`)
 	status, _ := call("PUT", "/v1/kv/k?version=0", "x")
@@ -88,7 +88,7 @@
 	c.Assert(status, quicktest.Equals, 404)
 }
 
-func TestDownCutsWaitingWatch(t *testing.T) {
+func TestDownClosesPendingWatch(t *testing.T) {
 	c, call := quicktest.New(t), start(t, DefaultConfig())
 	ended := make(chan int, 1)
 	go func() {
@@ -104,7 +104,7 @@
 
 func TestRatesAndCounters(t *testing.T) {
 	c, call := quicktest.New(t), start(t, Config{WritesPerSecond: 0.01, ReadsPerSecond: 2, ListLag: time.Hour})
-	c.Check(statusOf(call("PUT", "/v1/kv/k", "x")), quicktest.Equals, 429) // less than one token a second
+	c.Check(statusOf(call("PUT", "/v1/kv/k", "x")), quicktest.Equals, 429) // the bucket never holds a whole token
 	c.Check(statusOf(call("GET", "/v1/kv/k", "")), quicktest.Equals, 404)
 	c.Check(statusOf(call("PUT", "/v1/instances/i", `{"role":"router"}`)), quicktest.Equals, 200)
 	_, list := call("GET", "/v1/instances", "")
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Entry is a key as readers see it.
+// Entry is one key and its value as returned to clients.
 type Entry struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value"`
@@ -40,12 +40,12 @@
 	wake   chan struct{}
 }
 
-// store holds the keys. Deleted keys stay as marks, so that a watch sees every deletion.
+// store holds the keys. Deleted keys remain as tombstones, so that a watch sees every deletion.
 type store struct {
 	mu       sync.Mutex
 	revision uint64
 	records  map[string]*record
-	changes  []change // by rising version; superseded ones are dropped now and then
+	changes  []change // in ascending order of version; superseded ones are pruned periodically
 	leases   map[string]*lease
 	leaseNo  uint64
 	watchers map[*watcher]bool
@@ -77,7 +77,7 @@
 	return out, s.revision
 }
 
-// outcome tells how a write went.
+// outcome is the result of a write.
 type outcome int
 
 const (
@@ -87,7 +87,7 @@
 	noLease
 )
 
-// put writes a key; it returns the new version, or the current one on conflict.
+// put writes a key. It returns the new version, or the current version if the write fails.
 func (s *store) put(key string, value []byte, leaseID string, expect *uint64) (uint64, outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 	if expect != nil && *expect != current {
 		return current, conflict
 	}
-	if leaseID != "" && s.alive(leaseID) == nil {
+	if leaseID != "" && s.liveLease(leaseID) == nil {
 		return current, noLease
 	}
 	s.change(&record{Entry{Key: key, Value: value}, leaseID})
@@ -116,7 +116,7 @@
 	return s.revision, written
 }
 
-// current returns a key's version, 0 when there is none.
+// current returns a key's version, or 0 if the key does not exist.
 func (s *store) current(key string) uint64 {
 	if found := s.records[key]; found != nil && !found.Deleted {
 		return found.Version
@@ -124,13 +124,13 @@
 	return 0
 }
 
-// change puts a record in place under the next version and wakes the watches that wait for it.
+// change stores a record under the next version and wakes the watches on its key.
 func (s *store) change(next *record) {
 	if old := s.records[next.Key]; old != nil && s.leases[old.lease] != nil {
 		delete(s.leases[old.lease].keys, next.Key)
 	}
-	if held := s.leases[next.lease]; held != nil {
-		held.keys[next.Key] = true
+	if attached := s.leases[next.lease]; attached != nil {
+		attached.keys[next.Key] = true
 	}
 	s.revision++
 	next.Version = s.revision
@@ -149,7 +149,7 @@
 	}
 }
 
-// since returns what changed after a revision; a revision the store never reached counts as 0.
+// since returns the changes after a revision. A revision greater than the store's own is treated as 0.
 func (s *store) since(prefix string, after uint64) ([]Entry, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,7 +181,7 @@
 	delete(s.watchers, w)
 }
 
-func (s *store) waiting() int {
+func (s *store) watcherCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.watchers)
@@ -201,20 +201,20 @@
 func (s *store) expire(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.alive(id)
+	s.liveLease(id)
 }
 
-// alive returns a lease, or nil when there is none; one that has lapsed goes with its keys.
-func (s *store) alive(id string) *lease {
+// liveLease returns a lease, or nil if there is none. An expired lease is removed along with its keys.
+func (s *store) liveLease(id string) *lease {
 	l := s.leases[id]
 	if l != nil && !time.Now().Before(l.expires) {
-		s.drop(id)
+		s.dropLease(id)
 		return nil
 	}
 	return l
 }
 
-func (s *store) drop(id string) {
+func (s *store) dropLease(id string) {
 	l := s.leases[id]
 	l.timer.Stop()
 	delete(s.leases, id)
@@ -226,7 +226,7 @@
 func (s *store) keepAlive(id string) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.alive(id)
+	l := s.liveLease(id)
 	if l == nil {
 		return 0, false
 	}
@@ -238,9 +238,9 @@
 func (s *store) revoke(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.alive(id) == nil {
+	if s.liveLease(id) == nil {
 		return false
 	}
-	s.drop(id)
+	s.dropLease(id)
 	return true
 }
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -1,9 +1,9 @@
-// Package relay is a TCP relay between two processes whose connections can be
-// reset, held (both ways or one), delayed and healed. Tests, the proving tool and the
-// soak use it to make partitions and lost or slow links.
+// Package relay is a TCP proxy between two processes that can reset its connections,
+// stall them (in both directions or one), delay them, and return to normal. Tests, the
+// proving tool and the soak use it to simulate partitions and lost or slow links.
 //
-// Bytes that are held are lost if their sender resets the connection, as on a path between
-// two hosts; a connection that its sender closed goes on with all that was sent.
+// Stalled bytes are lost if their sender resets the connection, as on a path between
+// two hosts. If the sender closes the connection, all that it sent is still forwarded.
 package relay
 
 import (
@@ -16,21 +16,21 @@
 	"time"
 )
 
-// mode is what the relay does with connections.
+// mode determines how the relay treats connections.
 type mode int
 
 const (
-	// passing lets bytes through.
-	passing mode = iota
-	// held keeps connections and lets no bytes through.
+	// forwarding forwards bytes.
+	forwarding mode = iota
+	// held keeps connections open and forwards no bytes.
 	held
-	// silenced keeps connections and lets no bytes back from the target.
+	// silenced keeps connections open and forwards no bytes from the target.
 	silenced
-	// cut resets every connection, also new ones.
+	// cut resets every connection, including new ones.
 	cut
 )
 
-// Relay passes connections on to a target.
+// Relay forwards connections to a target.
 type Relay struct {
 	target   string
 	listener net.Listener
@@ -38,26 +38,26 @@
 	mu      sync.Mutex
 	mode    mode
 	delay   time.Duration
-	changed chan struct{} // closed and replaced at each change of mode
+	changed chan struct{} // closed and replaced whenever mode changes
 	pairs   map[*pair]bool
 	closed  bool
 }
 
-// pair is one connection with its continuation to the target.
+// pair is an accepted connection and the matching connection to the target.
 type pair struct {
-	near, far net.Conn
+	client, upstream net.Conn
 }
 
-// Listen starts a relay at an address towards a target.
+// Listen starts a relay that listens on addr and forwards to target.
 func Listen(addr, target string) (*Relay, error) {
 	return listen(net.ListenConfig{}, addr, target)
 }
 
-// tightBuffer is the receive buffer of connections to a tight relay, in bytes.
+// tightBuffer is the size of the receive buffer of connections to a relay of ListenTight, in bytes.
 const tightBuffer = 4 << 10
 
-// ListenTight starts a relay that acknowledges little of what it holds: most of a long
-// request stays with the sender's kernel.
+// ListenTight starts a relay with a small receive buffer: while it is stalled, most of a
+// long request remains in the send buffer of the sender's kernel.
 func ListenTight(addr, target string) (*Relay, error) {
 	return listen(net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var set error
@@ -81,65 +81,65 @@
 // Addr returns the address that the relay listens on.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Reset resets the connections there are; new ones pass.
+// Reset resets the existing connections; new ones are forwarded.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.resetAll()
 }
 
-// Cut resets the connections and every new one until Heal.
+// Cut resets the existing connections, and every new one until Heal is called.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.resetAll()
-	r.set(cut)
+	r.setMode(cut)
 }
 
-// Hold stops all bytes until Heal. Connections stay, new ones are taken.
+// Hold stops forwarding until Heal is called. Connections stay open and new ones are accepted.
 func (r *Relay) Hold() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.set(held)
+	r.setMode(held)
 }
 
-// Silence stops the bytes from the target until Heal; those towards it pass.
+// Silence stops forwarding bytes from the target until Heal is called; bytes to the target are forwarded.
 func (r *Relay) Silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.set(silenced)
+	r.setMode(silenced)
 }
 
-// Delay passes all bytes on later by the time until Heal.
+// Delay delays all bytes by d until Heal is called.
 func (r *Relay) Delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// Heal lets connections and bytes through again, at once.
+// Heal returns to forwarding connections and bytes without delay.
 func (r *Relay) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = 0
-	r.set(passing)
+	r.setMode(forwarding)
 }
 
-// Refuse ends the listener: new connections are refused, as by a host without the process;
-// those there are go on.
+// Refuse closes the listener: new connections are refused, as by a host on which the process
+// does not run. Existing connections are not affected.
 func (r *Relay) Refuse() { _ = r.listener.Close() }
 
-// Close ends the relay and its connections.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
 	r.resetAll()
-	r.set(cut)
+	r.setMode(cut)
 }
 
-func (r *Relay) set(m mode) {
+func (r *Relay) setMode(m mode) {
 	r.mode = m
 	close(r.changed)
 	r.changed = make(chan struct{})
@@ -161,29 +161,29 @@
 	}
 }
 
-func (r *Relay) serve(near net.Conn) {
-	if r.wait(false) != nil {
-		reset(near)
+func (r *Relay) serve(client net.Conn) {
+	if r.waitToForward(false) != nil {
+		reset(client)
 		return
 	}
-	far, err := net.Dial("tcp", r.target)
+	upstream, err := net.Dial("tcp", r.target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	p := &pair{near: near, far: far}
+	p := &pair{client: client, upstream: upstream}
 	if !r.add(p) {
 		p.reset()
 		return
 	}
 	defer r.remove(p)
-	ended := make(chan struct{})
+	requestsDone := make(chan struct{})
 	go func() {
-		r.copy(far, near, false)
-		close(ended)
+		r.copy(upstream, client, false)
+		close(requestsDone)
 	}()
-	r.copy(near, far, true)
-	<-ended
+	r.copy(client, upstream, true)
+	<-requestsDone
 }
 
 func (r *Relay) add(p *pair) bool {
@@ -200,15 +200,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.pairs, p)
-	_ = p.near.Close()
-	_ = p.far.Close()
+	_ = p.client.Close()
+	_ = p.upstream.Close()
 }
 
 var errCut = errors.New("relay: cut")
 
-// wait returns once bytes may pass, back from the target or towards it, or an
-// error when the relay is cut.
-func (r *Relay) wait(back bool) error {
+// waitToForward blocks until bytes may be forwarded, from the target if fromTarget is set and to it
+// otherwise. It returns an error if the relay is cut.
+func (r *Relay) waitToForward(fromTarget bool) error {
 	for {
 		r.mu.Lock()
 		m, changed, delay := r.mode, r.changed, r.delay
@@ -216,7 +216,7 @@
 		switch {
 		case m == cut:
 			return errCut
-		case m == passing || m == silenced && !back:
+		case m == forwarding || m == silenced && !fromTarget:
 			time.Sleep(delay)
 			return nil
 		}
@@ -224,15 +224,15 @@
 	}
 }
 
-// copyBuffer is the size of the buffer of one direction, in bytes.
+// copyBuffer is the size of the copy buffer of each direction, in bytes.
 const copyBuffer = 16 << 10
 
-// copy passes one direction on until it ends, then ends that direction only.
-func (r *Relay) copy(to, from net.Conn, back bool) {
+// copy forwards one direction until end of file, then closes that direction only.
+func (r *Relay) copy(to, from net.Conn, fromTarget bool) {
 	buf := make([]byte, copyBuffer)
 	for {
 		n, err := from.Read(buf)
-		if r.wait(back) != nil || wasReset(from) || errors.Is(err, syscall.ECONNRESET) {
+		if r.waitToForward(fromTarget) != nil || wasReset(from) || errors.Is(err, syscall.ECONNRESET) {
 			reset(to)
 			return
 		}
@@ -249,8 +249,8 @@
 	}
 }
 
-// wasReset reports whether the other end reset the connection, which reads tell only after
-// what came before.
+// wasReset reports whether the peer reset the connection. Reads report a reset only after
+// the data received before it.
 func wasReset(conn net.Conn) bool {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -275,11 +275,11 @@
 }
 
 func (p *pair) reset() {
-	reset(p.near)
-	reset(p.far)
+	reset(p.client)
+	reset(p.upstream)
 }
 
-// reset closes a connection so that the other end sees a reset.
+// reset closes a connection with a TCP reset instead of a FIN.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// echo starts a server that sends back what it gets.
+// echo starts a server that sends back what it receives.
 func echo(c *qt.C) string {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -46,9 +46,9 @@
 	return conn
 }
 
-// exchange sends a byte and waits for it to come back.
-func exchange(conn net.Conn, bound time.Duration) error {
-	_ = conn.SetDeadline(time.Now().Add(bound))
+// exchange sends a byte and waits until the echo returns it.
+func exchange(conn net.Conn, timeout time.Duration) error {
+	_ = conn.SetDeadline(time.Now().Add(timeout))
 	if _, err := conn.Write([]byte{1}); err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 	return err
 }
 
-func TestPassesAndEnds(t *testing.T) {
+func TestForwardsBytesAndHalfClose(t *testing.T) {
 	c := qt.New(t)
 	conn := dial(c, start(c))
 	c.Assert(exchange(conn, time.Second), qt.IsNil)
@@ -66,7 +66,7 @@
 	c.Assert(rest, qt.HasLen, 0)
 }
 
-func TestHoldKeepsConnectionsAndBytes(t *testing.T) {
+func TestHoldDelaysBytesAndKeepsConnections(t *testing.T) {
 	c := qt.New(t)
 	r := start(c)
 	conn := dial(c, r)
@@ -79,7 +79,7 @@
 	c.Assert(err, qt.IsNil)
 }
 
-func TestCutResetsOldAndNew(t *testing.T) {
+func TestCutResetsExistingAndNewConnections(t *testing.T) {
 	c := qt.New(t)
 	r := start(c)
 	conn := dial(c, r)
@@ -91,7 +91,7 @@
 	c.Assert(exchange(dial(c, r), time.Second), qt.IsNil)
 }
 
-func TestResetLetsNewOnesPass(t *testing.T) {
+func TestResetForwardsNewConnections(t *testing.T) {
 	c := qt.New(t)
 	r := start(c)
 	conn := dial(c, r)
@@ -101,8 +101,8 @@
 	c.Assert(exchange(dial(c, r), time.Second), qt.IsNil)
 }
 
-// refused reports whether a new connection is reset, as it is opened or when it
-// is used: the relay may close it before the dial has returned.
+// refused reports whether a new connection is reset, either by the dial or at first
+// use: the relay may close it before the dial has returned.
 func refused(r *Relay) bool {
 	conn, err := net.Dial("tcp", r.Addr())
 	if err != nil {
@@ -113,8 +113,8 @@
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// A link that is cut one way takes what is sent and gives nothing back.
-func TestSilenceHoldsOneWay(t *testing.T) {
+// A one-way partition delivers bytes to the target but none of its responses.
+func TestSilenceStallsOneDirection(t *testing.T) {
 	c := qt.New(t)
 	r := start(c)
 	conn := dial(c, r)
@@ -127,22 +127,22 @@
 	c.Check(err, qt.IsNil)
 }
 
-func TestDelayMakesALinkSlow(t *testing.T) {
+func TestDelaySlowsBothDirections(t *testing.T) {
 	c := qt.New(t)
 	r := start(c)
 	conn := dial(c, r)
 	r.Delay(50 * time.Millisecond)
-	began := time.Now()
+	start := time.Now()
 	c.Assert(exchange(conn, time.Second), qt.IsNil)
-	c.Check(time.Since(began) >= 100*time.Millisecond, qt.IsTrue)
+	c.Check(time.Since(start) >= 100*time.Millisecond, qt.IsTrue)
 	r.Heal()
-	began = time.Now()
+	start = time.Now()
 	c.Assert(exchange(conn, time.Second), qt.IsNil)
-	c.Check(time.Since(began) < 50*time.Millisecond, qt.IsTrue)
+	c.Check(time.Since(start) < 50*time.Millisecond, qt.IsTrue)
 }
 
-// received returns what a server behind the relay gets of a connection that its sender ends
-// while the relay holds it.
+// received returns the number of bytes that a server behind the relay receives on a
+// connection that its sender ends while the relay is stalled, and the error that it reads.
 func received(c *qt.C, listen func(addr, target string) (*Relay, error), size int, end func(*net.TCPConn)) (n int64, err error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -151,9 +151,9 @@
 	c.Assert(err, qt.IsNil)
 	defer r.Close()
 	conn := dial(c, r).(*net.TCPConn)
-	far, err := lis.Accept()
+	upstream, err := lis.Accept()
 	c.Assert(err, qt.IsNil)
-	defer far.Close()
+	defer upstream.Close()
 	r.Hold()
 	_, err = conn.Write(make([]byte, size))
 	c.Assert(err, qt.IsNil)
@@ -161,13 +161,13 @@
 	end(conn)
 	time.Sleep(20 * time.Millisecond)
 	r.Heal()
-	_ = far.SetReadDeadline(time.Now().Add(2 * time.Second))
-	return io.Copy(io.Discard, far)
+	_ = upstream.SetReadDeadline(time.Now().Add(2 * time.Second))
+	return io.Copy(io.Discard, upstream)
 }
 
-// Held bytes go on their way when their sender closed the connection, and are lost when it
-// reset it, whether the relay or the sender's kernel holds them.
-func TestHeldBytesAreLostByAReset(t *testing.T) {
+// Stalled bytes are delivered if their sender closes the connection, and lost if it resets
+// the connection, whether they are buffered in the relay or in the sender's kernel.
+func TestResetDropsStalledBytes(t *testing.T) {
 	for name, listen := range map[string]func(addr, target string) (*Relay, error){"relay": Listen, "sender's kernel": ListenTight} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
--- a/standin/runs/journal_test.go
+++ b/standin/runs/journal_test.go
@@ -9,7 +9,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestJournalHasStartAndEnd(t *testing.T) {
+func TestJournalRecordsStartAndEnd(t *testing.T) {
 	c := quicktest.New(t)
 	var journal bytes.Buffer
 	l := NewLog(1)
--- a/standin/runs/runs.go
+++ b/standin/runs/runs.go
@@ -1,4 +1,4 @@
-// Package runs records what a backend server ran, for checks made afterwards.
+// Package runs records the requests that a backend server ran, so that tests can check them afterwards.
 package runs
 
 import (
@@ -26,7 +26,7 @@
 type Run struct {
 	Number    int64  `json:"number"`
 	RequestID string `json:"request_id"`
-	// CallID is a name that the caller gave to its call, if any.
+	// CallID is the identifier that the caller assigned to its call, if any.
 	CallID         string `json:"call_id,omitempty"`
 	IdempotencyKey string `json:"idempotency_key"`
 	Team           string `json:"team"`
@@ -35,13 +35,13 @@
 	State          string `json:"state"`
 	Bytes          int64  `json:"bytes"`
 	SHA256         string `json:"sha256"`
-	// CostTokens counts prompt tokens that were not cached and generated ones.
+	// CostTokens is the number of uncached prompt tokens plus generated tokens.
 	CostTokens int64 `json:"cost_tokens"`
-	// PromptTokens is the part of CostTokens that was not generated.
+	// PromptTokens is the number of uncached prompt tokens.
 	PromptTokens int64 `json:"prompt_tokens"`
 }
 
-// Stats sums up all runs, also those no longer kept.
+// Stats holds totals over all runs, including those no longer kept.
 type Stats struct {
 	Running    int64 `json:"running"`
 	Started    int64 `json:"started"`
@@ -50,27 +50,28 @@
 	Tokens     int64 `json:"tokens"`
 }
 
-// Log keeps the last runs.
+// Log keeps the most recent runs.
 type Log struct {
-	mu     sync.Mutex
-	keep   int
-	ring   []*Handle
-	stats  Stats
-	origin time.Time
-	busy   time.Duration // of ended runs
-	starts time.Duration // sum of the running runs' starts since origin
+	mu        sync.Mutex
+	limit     int
+	ring      []*Handle
+	stats     Stats
+	startTime time.Time
+	busyTime  time.Duration // of ended runs
+	startSum  time.Duration // sum of the start times of the runs in progress, relative to origin
 
 	journal *json.Encoder // nil: none
 }
 
 // Line is one line of a journal: a run at its start or at its end.
 type Line struct {
-	// Born tells the processes of one journal apart.
+	// Born is the start time of the process, in Unix nanoseconds. It distinguishes
+	// the processes that write to the same journal.
 	Born int64 `json:"born"`
 	Run
 }
 
-// Handle is a run that is being recorded.
+// Handle records the progress of one run.
 type Handle struct {
 	log   *Log
 	run   Run
@@ -79,48 +80,48 @@
 }
 
 // NewLog returns a log of at most keep runs (at least one).
-func NewLog(keep int) *Log { return &Log{keep: max(keep, 1), origin: time.Now()} }
+func NewLog(keep int) *Log { return &Log{limit: max(keep, 1), startTime: time.Now()} }
 
-// Journal makes the log write each start and end to w as well, so that the
-// record outlives the process. It is called before the first run.
+// Journal makes the log also write each start and end to w, so that the
+// record survives the process. It must be called before the first run.
 func (l *Log) Journal(w io.Writer) {
 	if w != nil {
 		l.journal = json.NewEncoder(w)
 	}
 }
 
-func (l *Log) write(run Run) {
+func (l *Log) writeLine(run Run) {
 	if l.journal != nil {
-		_ = l.journal.Encode(Line{Born: l.origin.UnixNano(), Run: run})
+		_ = l.journal.Encode(Line{Born: l.startTime.UnixNano(), Run: run})
 	}
 }
 
-// Start records the start of a run of a request.
+// Start records the start of a run of r.
 func (l *Log) Start(r *http.Request) *Handle {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h := &Handle{log: l, start: time.Since(l.origin), sum: sha256.New()}
+	h := &Handle{log: l, start: time.Since(l.startTime), sum: sha256.New()}
 	h.run = Run{
 		Number: l.stats.Started, RequestID: r.Header.Get("X-Request-Id"), CallID: r.Header.Get("X-Call-Id"),
 		IdempotencyKey: r.Header.Get("Idempotency-Key"), Team: r.Header.Get("X-Team"),
 		StartedMS: time.Now().UnixMilli(), State: Running,
 	}
-	if len(l.ring) < l.keep {
+	if len(l.ring) < l.limit {
 		l.ring = append(l.ring, h)
 	} else {
-		l.ring[l.stats.Started%int64(l.keep)] = h
+		l.ring[l.stats.Started%int64(l.limit)] = h
 	}
 	l.stats.Started++
 	l.stats.Running++
-	l.starts += h.start
-	l.write(h.run)
+	l.startSum += h.start
+	l.writeLine(h.run)
 	return h
 }
 
-// Number returns the run's number, counted from 0.
+// Number returns the run's sequence number, starting at 0.
 func (h *Handle) Number() int64 { return h.run.Number }
 
-// Write adds to the answer's bytes; it never fails.
+// Write adds body to the run's byte count and checksum. It never fails.
 func (h *Handle) Write(body []byte) (int, error) {
 	h.log.mu.Lock()
 	defer h.log.mu.Unlock()
@@ -131,7 +132,7 @@
 	return len(body), nil
 }
 
-// AddPrompt adds prompt tokens that were not cached to the run's cost.
+// AddPrompt adds n uncached prompt tokens to the run's cost.
 func (h *Handle) AddPrompt(n int64) {
 	h.log.mu.Lock()
 	defer h.log.mu.Unlock()
@@ -140,7 +141,7 @@
 	h.log.stats.Tokens += n
 }
 
-// AddTokens adds to the run's cost.
+// AddTokens adds n generated tokens to the run's cost.
 func (h *Handle) AddTokens(n int64) {
 	h.log.mu.Lock()
 	defer h.log.mu.Unlock()
@@ -148,7 +149,7 @@
 	h.log.stats.Tokens += n
 }
 
-// End records the end of the run; only the first end counts.
+// End records the end of the run. Only the first call has an effect.
 func (h *Handle) End(state string) {
 	l := h.log
 	l.mu.Lock()
@@ -160,19 +161,19 @@
 	h.run.SHA256, h.sum = hex.EncodeToString(h.sum.Sum(nil)), nil
 	l.stats.Running--
 	l.stats.Ended++
-	l.starts -= h.start
-	l.busy += time.Since(l.origin) - h.start
-	l.write(h.run)
+	l.startSum -= h.start
+	l.busyTime += time.Since(l.startTime) - h.start
+	l.writeLine(h.run)
 }
 
-// Runs returns the kept runs with a number of at least from, in the order of their start.
+// Runs returns the kept runs whose number is at least from, in start order.
 func (l *Log) Runs(from int64) []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := []Run{}
 	first := max(l.stats.Started-int64(len(l.ring)), from)
 	for n := first; n < l.stats.Started; n++ {
-		h := l.ring[n%int64(l.keep)]
+		h := l.ring[n%int64(l.limit)]
 		run := h.run
 		if h.sum != nil {
 			run.SHA256 = hex.EncodeToString(h.sum.Sum(nil))
@@ -182,17 +183,17 @@
 	return out
 }
 
-// Stats returns the sums.
+// Stats returns the totals up to now, including the runs in progress.
 func (l *Log) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	stats := l.stats
-	open := time.Duration(stats.Running)*time.Since(l.origin) - l.starts
-	stats.BusySlotMS = (l.busy + open).Milliseconds()
+	running := time.Duration(stats.Running)*time.Since(l.startTime) - l.startSum
+	stats.BusySlotMS = (l.busyTime + running).Milliseconds()
 	return stats
 }
 
-// ServeRuns answers GET /admin/runs; the query may give the first number wanted as "from".
+// ServeRuns handles GET /admin/runs; the query parameter "from" is the first run number to return.
 func (l *Log) ServeRuns(w http.ResponseWriter, r *http.Request) {
 	from, _, err := reply.Uint(r, "from")
 	if err != nil {
@@ -202,7 +203,7 @@
 	reply.JSON(w, http.StatusOK, map[string]any{"runs": l.Runs(int64(from))})
 }
 
-// ServeStats answers GET /admin/stats.
+// ServeStats handles GET /admin/stats.
 func (l *Log) ServeStats(w http.ResponseWriter, _ *http.Request) {
 	reply.JSON(w, http.StatusOK, l.Stats())
 }
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in for a plain service: it answers any method and path after a while, in a bounded
-// number of slots, and records what it ran.
+// Package service is a stand-in for a plain service: it responds to any method and path after a delay, with a limited
+// number of slots, and records its runs.
 package service
 
 import (
@@ -21,18 +21,18 @@
 type Config struct {
 	Slots    int
 	Time     time.Duration
-	Jitter   time.Duration // mean of the exponential part
+	Jitter   time.Duration // mean of the exponentially distributed part of the service time
 	LoadLag  time.Duration
 	KeepRuns int
-	Journal  io.Writer // gets a line for each start and end of a run; may be nil
+	Journal  io.Writer // receives a line for each start and end of a run; may be nil
 }
 
-// DefaultConfig returns the usual settings.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{Slots: 4, Time: 20 * time.Millisecond, Jitter: 5 * time.Millisecond, LoadLag: time.Second, KeepRuns: 200000}
 }
 
-// Server is the stand-in.
+// Server serves requests as a plain service.
 type Server struct {
 	config Config
 	mux    *http.ServeMux
@@ -41,7 +41,7 @@
 	faults *faults.Box[faults.Backend]
 }
 
-// New returns a service.
+// New returns an idle service.
 func New(config Config) *Server {
 	s := &Server{
 		config: config, mux: http.NewServeMux(), pool: slots.New(config.Slots, config.LoadLag),
@@ -56,7 +56,7 @@
 	return s
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, "/admin/") || r.URL.Path == "/load" && r.Method == http.MethodGet {
 		s.mux.ServeHTTP(w, r)
@@ -64,21 +64,21 @@
 	}
 	sum := sha256.New()
 	if _, err := io.Copy(sum, r.Body); err != nil {
-		return // the caller left before the request was whole
+		return // the client disconnected before the request was complete
 	}
 	if s.pool.Acquire(r.Context()) != nil {
-		return // the caller left while it waited: nothing ran
+		return // the client disconnected while queued: nothing ran
 	}
 	s.run(w, r, hex.EncodeToString(sum.Sum(nil)))
 }
 
-// run holds a slot for the service time. It goes on to its end when the caller leaves meanwhile.
+// run occupies a slot for the service time. It runs to its end even if the client disconnects.
 func (s *Server) run(w http.ResponseWriter, r *http.Request, bodySum string) {
 	run, fault := s.log.Start(r), s.faults.Get()
 	time.Sleep(s.config.Time + time.Duration(rand.ExpFloat64()*float64(s.config.Jitter)) +
 		time.Duration(fault.StallMS)*time.Millisecond)
 	run.AddTokens(1)
-	status, state, body := http.StatusOK, runs.Done, answer(r, run.Number(), bodySum)
+	status, state, body := http.StatusOK, runs.Done, responseBody(r, run.Number(), bodySum)
 	if s.faults.Chance(fault.Fail) {
 		status, state, body = http.StatusInternalServerError, runs.Failed, []byte("{\"error\":\"fault\"}\n")
 	}
@@ -90,13 +90,13 @@
 	faults.NewCutter(w, fault.CutAfterBytes).Send(body)
 }
 
-func answer(r *http.Request, number int64, bodySum string) []byte {
+func responseBody(r *http.Request, number int64, bodySum string) []byte {
 	body, _ := json.Marshal(struct {
 		RequestID string `json:"request_id"`
 		Method    string `json:"method"`
 		Path      string `json:"path"`
 		Body      string `json:"body_sha256"`
 		Run       int64  `json:"run"`
-	}{r.Header.Get("X-Request-Id"), r.Method, r.URL.Path, bodySum, number}) // plain strings always encode
+	}{r.Header.Get("X-Request-Id"), r.Method, r.URL.Path, bodySum, number}) // strings and integers always encode
 	return append(body, '\n')
 }
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -12,7 +12,7 @@
 	"goldcrestport/standin/runs"
 )
 
-func TestFailAnswersAfterRunning(t *testing.T) {
+func TestFailRunsRequestBeforeErrorResponse(t *testing.T) {
 	c, s := quicktest.New(t), New(DefaultConfig())
 	server := httptest.NewServer(s)
 	defer server.Close()
--- a/standin/slots/slots.go
+++ b/standin/slots/slots.go
@@ -1,4 +1,4 @@
-// Package slots admits a bounded number of runs at once, first come first served.
+// Package slots limits the number of concurrent runs, with a first-in, first-out queue.
 package slots
 
 import (
@@ -11,17 +11,17 @@
 	"goldcrestport/standin/lag"
 )
 
-// Pool is a set of slots with a queue before it.
+// Pool is a fixed number of slots and a queue of waiters.
 type Pool struct {
-	mu      sync.Mutex
-	slots   int
-	running int
-	waiting []chan struct{}
-	blocks  int
-	load    *lag.Value[Load]
+	mu          sync.Mutex
+	slots       int
+	running     int
+	waiting     []chan struct{}
+	cacheBlocks int
+	load        *lag.Value[Load]
 }
 
-// Load is the report of a pool's use.
+// Load is a pool's load report.
 type Load struct {
 	Running     int   `json:"running"`
 	Waiting     int   `json:"waiting"`
@@ -30,49 +30,49 @@
 	AsOfMS      int64 `json:"as_of_ms"`
 }
 
-// New returns a pool of n slots (at least one) whose report of load lags.
+// New returns a pool of n slots (at least one) whose load report lags by loadLag.
 func New(n int, loadLag time.Duration) *Pool {
 	n = max(n, 1)
 	return &Pool{slots: n, load: lag.NewValue(loadLag, Load{Slots: n})}
 }
 
-// Acquire waits in turn for a slot. It fails only when ctx ends first; then no slot is held.
+// Acquire waits in the queue for a slot. It fails only if ctx is done first, in which case no slot is taken.
 func (p *Pool) Acquire(ctx context.Context) error {
 	p.mu.Lock()
 	if p.running < p.slots {
 		p.running++
-		p.report()
+		p.publishLoad()
 		p.mu.Unlock()
 		return nil
 	}
-	turn := make(chan struct{})
-	p.waiting = append(p.waiting, turn)
-	p.report()
+	granted := make(chan struct{})
+	p.waiting = append(p.waiting, granted)
+	p.publishLoad()
 	p.mu.Unlock()
 	select {
-	case <-turn:
+	case <-granted:
 		return nil
 	case <-ctx.Done():
-		p.leave(turn)
+		p.abandon(granted)
 		return ctx.Err()
 	}
 }
 
-// leave takes a waiter out of the queue, or gives back the slot it was handed meanwhile.
-func (p *Pool) leave(turn chan struct{}) {
+// abandon removes a waiter from the queue, or releases the slot if it was assigned one in the meantime.
+func (p *Pool) abandon(granted chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, other := range p.waiting {
-		if other == turn {
+		if other == granted {
 			p.waiting = append(p.waiting[:i], p.waiting[i+1:]...)
-			p.report()
+			p.publishLoad()
 			return
 		}
 	}
 	p.release()
 }
 
-// Release gives a slot back, to the first waiter if there is one.
+// Release frees a slot, which goes to the first waiter if there is one.
 func (p *Pool) Release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,29 +86,29 @@
 	} else {
 		p.running--
 	}
-	p.report()
+	p.publishLoad()
 }
 
-// Running returns how many slots are held now.
+// Running returns the number of slots in use.
 func (p *Pool) Running() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.running
 }
 
-// SetBlocks records the size of the cache that the report of load shows.
+// SetBlocks sets the cache size in the load report.
 func (p *Pool) SetBlocks(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.blocks = n
-	p.report()
+	p.cacheBlocks = n
+	p.publishLoad()
 }
 
-func (p *Pool) report() {
-	p.load.Set(Load{Running: p.running, Waiting: len(p.waiting), Slots: p.slots, CacheBlocks: p.blocks})
+func (p *Pool) publishLoad() {
+	p.load.Set(Load{Running: p.running, Waiting: len(p.waiting), Slots: p.slots, CacheBlocks: p.cacheBlocks})
 }
 
-// ServeHTTP answers with the lagging report of load.
+// ServeHTTP responds with the lagging load report.
 func (p *Pool) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	load, asOf := p.load.Get()
 	load.AsOfMS = asOf.UnixMilli()
