--- a/clock_test.go
+++ b/clock_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// checkClock reports calls of the clock and goroutines in a file of a pure
+// checkClock reports uses of the clock and goroutines started in a file of a pure
 // layer.
 func checkClock(t *testing.T, path string, file *ast.File) {
 	ast.Inspect(file, func(n ast.Node) bool {
--- a/cmd/goldcrestctl/config.go
+++ b/cmd/goldcrestctl/config.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// table starts a table with its head.
+// table starts a table with its header row.
 func (a *app) table(head ...string) *tabwriter.Writer {
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	row(w, head...)
--- a/cmd/goldcrestctl/drain.go
+++ b/cmd/goldcrestctl/drain.go
@@ -12,9 +12,9 @@
 	"goldcrestport/protocol/operator"
 )
 
-// drainAttempts bounds how often a drain is planned again because another
-// operator's change came between. The wish names one backend server or data centre
-// only, so it holds against any base.
+// drainAttempts bounds how often a drain is planned against a newer revision after a
+// concurrent change by another operator. The edit concerns only one backend server or
+// data centre, so it can be applied to any revision.
 const drainAttempts = 8
 
 func (a *app) drainCommand() *cobra.Command {
@@ -38,7 +38,7 @@
 	return cmd
 }
 
-// listed returns the list with the name, or without it.
+// listed returns the list with the name added, or removed if with is false.
 func listed(list []string, name string, with bool) []string {
 	list = slices.DeleteFunc(list, func(one string) bool { return one == name })
 	if with {
@@ -47,7 +47,7 @@
 	return list
 }
 
-// edit changes what the operators want of the named backend server or data centre.
+// edit changes the intent for the named backend server or data centre.
 type edit func(in *intent.Intent, name string)
 
 func (a *app) drainLike(use, text string, change edit) *cobra.Command {
@@ -70,8 +70,8 @@
 	return cmd
 }
 
-// planEdit plans the newest configuration with the change. The base is given, so
-// that the plan can't undo a change in between.
+// planEdit plans the edit of the newest configuration. It sends the base revision, so
+// that the plan can't undo a concurrent change.
 func (a *app) planEdit(ctx context.Context, name string, change edit) (*operator.PlanResponse, error) {
 	c, err := a.client().Config(ctx)
 	if err != nil {
--- a/cmd/goldcrestctl/exit.go
+++ b/cmd/goldcrestctl/exit.go
@@ -23,16 +23,16 @@
 	exitUnsettled = 5
 )
 
-// errRun marks the errors of a command that ran; all others come from the
-// command line itself.
+// errRun marks errors that a command returned; all others are errors in the command
+// line itself.
 var errRun = errors.New("run")
 
-// errBadInput marks errors in files and arguments.
+// errBadInput marks errors in input files and arguments.
 var errBadInput = errors.New("bad input")
 
 func badInput(err error) error { return errors.Mark(err, errBadInput) }
 
-// exitCode maps an error to the code for scripts.
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	var p *operatorclient.ProblemError
 	var found intent.Errors
@@ -67,7 +67,7 @@
 	}
 }
 
-// printError writes the error with all that a router told about it.
+// printError writes the error with all details that a router returned.
 func printError(w io.Writer, err error) {
 	var p *operatorclient.ProblemError
 	var found intent.Errors
--- a/cmd/goldcrestctl/explain.go
+++ b/cmd/goldcrestctl/explain.go
@@ -10,7 +10,8 @@
 	"goldcrestport/protocol/trail"
 )
 
-// explainCommand says the course of one request or server from the routers' logs.
+// explainCommand returns the command that shows the history of a request or backend
+// server from the routers' logs.
 func explainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain ID [FILE...]",
@@ -31,8 +32,8 @@
 	}
 }
 
-// openAll returns the files one after another, or the standard input if there
-// are none.
+// openAll returns a reader of the concatenated files, or standard input if there are
+// none.
 func openAll(stdin io.Reader, files []string) (io.Reader, func(), error) {
 	if len(files) == 0 {
 		return stdin, func() {}, nil
--- a/cmd/goldcrestctl/fairness.go
+++ b/cmd/goldcrestctl/fairness.go
@@ -19,8 +19,8 @@
 	places int
 }
 
-// fairnessCommand tells from the routers' logs how far the least served team was from
-// its share, and what kept it from it.
+// fairnessCommand returns the command that computes from the routers' logs how far the
+// least served team was below its share, and why.
 func (a *app) fairnessCommand() *cobra.Command {
 	var o fairnessOptions
 	cmd := &cobra.Command{
@@ -50,7 +50,7 @@
 	return cmd
 }
 
-// table writes the windows as plain columns, after the least margin of all.
+// table writes the windows as plain columns, preceded by the least margin of all.
 func (o fairnessOptions) table(to io.Writer, log *fairness.Log, windows []fairness.Result) error {
 	fmt.Fprintf(to, "%d lines, %d broken, %d beyond this command's bounds\n", log.Lines, log.Broken, log.Beyond)
 	if least := leastOf(windows); least != nil {
@@ -73,7 +73,8 @@
 	return w.Flush()
 }
 
-// rows writes the largest teams of the window, and where they came in.
+// rows writes the largest teams of the window, and the routers that received their
+// requests.
 func (o fairnessOptions) rows(w io.Writer, r *fairness.Result) {
 	for i, row := range r.Rows {
 		if i >= o.teams && row.Team != r.Least && row.Team != r.Best {
@@ -89,7 +90,7 @@
 	}
 }
 
-// use writes one row; ratios holds the columns margin and of best.
+// use writes one row; ratios contains the columns "margin" and "of best".
 func use(w io.Writer, team, at, ratios string, u fairness.Use, bound fairness.Bound) {
 	decided := 0.0
 	if tries := u.Requests + u.Unread; tries > 0 {
--- a/cmd/goldcrestctl/losses.go
+++ b/cmd/goldcrestctl/losses.go
@@ -22,8 +22,8 @@
 	served bool
 }
 
-// lossesCommand counts from the routers' logs which requests were refused,
-// failed, cut or late, and why.
+// lossesCommand returns the command that counts from the routers' logs which requests
+// were refused, failed, cut off or late, and why.
 func (a *app) lossesCommand() *cobra.Command {
 	var o lossesOptions
 	cmd := &cobra.Command{
@@ -62,7 +62,7 @@
 	return cmd
 }
 
-// table writes the groups as plain columns, after a line on what was read.
+// table writes the groups as plain columns, preceded by a line of totals.
 func (o lossesOptions) table(to io.Writer, t *losses.Tally) error {
 	fmt.Fprintf(to, "%d requests in %d lines; %d lines were broken, %d requests left out by the routers, %d beyond this command's bounds\n\n",
 		t.Requests, t.Lines, t.Broken, t.LeftOut, t.Beyond)
--- a/cmd/goldcrestctl/losses_plot.go
+++ b/cmd/goldcrestctl/losses_plot.go
@@ -15,7 +15,8 @@
 	plotHeight = 12 * vg.Centimeter
 )
 
-// plotLosses draws what ended in each second; the file's extension is the format.
+// plotLosses plots the requests that ended in each second; the file extension selects
+// the format.
 func plotLosses(t *losses.Tally, file string) error {
 	p := plot.New()
 	p.Title.Text = "Requests by second and outcome"
@@ -34,7 +35,7 @@
 	return p.Save(plotWidth, plotHeight, file)
 }
 
-// series is a figure of each second; those without a request count as 0.
+// series returns a value for each second; seconds without a request count as 0.
 func series(t *losses.Tally, value func(*losses.Second) int) plotter.XYs {
 	var out plotter.XYs
 	for _, s := range t.Second {
--- a/cmd/goldcrestctl/main_test.go
+++ b/cmd/goldcrestctl/main_test.go
@@ -19,10 +19,11 @@
 	"goldcrestport/state/config"
 )
 
-// examples is where the example intents are.
+// examples is the directory of the example intents.
 const examples = "../../docs/examples/"
 
-// answering returns a router that gives one answer to everything.
+// answering starts a router that returns the same response to every request, and returns
+// its URL.
 func answering(t *testing.T, status int, body any) string {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
@@ -165,7 +166,7 @@
 	}, "\n"))
 }
 
-// The course of a request is said from logs, in files or on standard input.
+// The history of a request is read from logs, in files or on standard input.
 func TestExplain(t *testing.T) {
 	line := "ts=2026-01-01T00:00:00Z role=direct id=edge-1 event=request_ended request=aa01 route=r why=no-configuration status=503 retry_after_ms=300\n"
 	file := filepath.Join(t.TempDir(), "log")
--- a/cmd/goldcrestctl/rebase.go
+++ b/cmd/goldcrestctl/rebase.go
@@ -15,7 +15,7 @@
 	"goldcrestport/transport/operatorclient"
 )
 
-// rebaseAttempts bounds how often a plan is put on a newer revision.
+// rebaseAttempts bounds how often a plan is rebased onto a newer revision.
 const rebaseAttempts = 8
 
 func isStale(err error) bool {
@@ -23,8 +23,8 @@
 	return errors.As(err, &p) && p.Status == http.StatusConflict
 }
 
-// confirmRebased confirms the plan; if other changes came between, it puts the
-// plan's own changes on top of them, unless they meet.
+// confirmRebased confirms the plan. After concurrent changes it rebases the plan onto
+// the newest revision, unless the changes conflict.
 func (a *app) confirmRebased(ctx context.Context, ask operator.ConfirmRequest, confirm func(operator.ConfirmRequest) error) error {
 	mine, err := documentOf(ask.Intent)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return err
 }
 
-// rebaseOnce plans the changes from base to mine on the newest revision, shows
+// rebaseOnce plans the changes from base to mine against the newest revision, prints
 // the plan and confirms it.
 func (a *app) rebaseOnce(ctx context.Context, base, mine *config.Document, confirm func(operator.ConfirmRequest) error) error {
 	newest, err := a.client().Config(ctx)
@@ -76,10 +76,10 @@
 	return confirm(operator.ConfirmRequest{Intent: data, BaseRevision: p.Plan.BaseRevision, Digest: p.Plan.Digest})
 }
 
-// errMeets means that a plan and later revisions change the same things.
+// errMeets is returned if the plan and later revisions change the same objects.
 var errMeets = errors.New("the plan is stale")
 
-// contentOf returns what a revision stated.
+// contentOf returns the configuration of a revision.
 func (a *app) contentOf(ctx context.Context, revision uint64) (*config.Document, error) {
 	if revision == 0 {
 		return &config.Document{}, nil
--- a/cmd/goldcrestctl/rebase_test.go
+++ b/cmd/goldcrestctl/rebase_test.go
@@ -17,8 +17,8 @@
 	"goldcrestport/state/config"
 )
 
-// lineRouter is a router whose revisions are given; it accepts a plan against
-// the last one.
+// lineRouter is a router with a given history of revisions; it accepts plans against the
+// last one only.
 type lineRouter struct {
 	revisions []*config.Document
 	confirmed *operator.ConfirmRequest
--- a/cmd/goldcrestctl/root.go
+++ b/cmd/goldcrestctl/root.go
@@ -18,7 +18,7 @@
 	"goldcrestport/transport/operatorclient"
 )
 
-// Environment variables that stand in for flags.
+// Environment variables that set the defaults of flags.
 const (
 	envRouters = "GOLDCREST_ROUTERS"
 	envToken   = "GOLDCREST_TOKEN"
@@ -32,10 +32,11 @@
 
 const timeFormat = time.RFC3339
 
-// defaultTimeout is longer than a router takes to settle a confirmation.
+// defaultTimeout is longer than a router takes to determine the outcome of a
+// confirmation.
 const defaultTimeout = 15 * time.Second
 
-// app holds what all commands share.
+// app contains the streams and flags that all commands share.
 type app struct {
 	in      io.Reader
 	out     io.Writer
@@ -101,7 +102,7 @@
 	return operatorclient.New(a.routers, a.token, a.timeout)
 }
 
-// command returns a command whose errors are marked as those of a run.
+// command returns a command whose errors are marked with errRun.
 func command(use, short string, args cobra.PositionalArgs, body func(ctx context.Context, args []string) error) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: args,
@@ -123,7 +124,7 @@
 
 func (a *app) say(format string, args ...any) { fmt.Fprintf(a.out, format+"\n", args...) }
 
-// tell says what has no place in JSON output.
+// tell prints a line that is not part of the JSON output.
 func (a *app) tell(format string, args ...any) {
 	if a.format == formatTable {
 		a.say(format, args...)
--- a/cmd/goldcrestctl/status.go
+++ b/cmd/goldcrestctl/status.go
@@ -15,7 +15,7 @@
 	"goldcrestport/protocol/operator"
 )
 
-// maxQueueRows bounds the queues in the table; JSON has more.
+// maxQueueRows bounds the rows of the queue table; JSON output has no such bound.
 const maxQueueRows = 20
 
 func (a *app) statusCommand() *cobra.Command {
--- a/cmd/goldcrestctl/wait.go
+++ b/cmd/goldcrestctl/wait.go
@@ -9,10 +9,10 @@
 	"goldcrestport/protocol/operator"
 )
 
-// waitEvery is the time between looks at the fleet.
+// waitEvery is the interval at which the status of the fleet is polled.
 const waitEvery = 200 * time.Millisecond
 
-// reach is how far a revision has come.
+// reach counts the processes in which a revision is in force.
 type reach struct {
 	routers, allRouters   int
 	backends, allBackends int
@@ -42,8 +42,8 @@
 	return r
 }
 
-// await looks until the revision is in force in every process that the router
-// asked knows, or the bound has passed.
+// await polls the status until the revision is in force in every process that the queried
+// router knows, or the bound has passed.
 func (a *app) await(ctx context.Context, revision uint64, bound time.Duration) error {
 	began := time.Now()
 	for {
--- a/cmd/goldcrestd/commands.go
+++ b/cmd/goldcrestd/commands.go
@@ -84,14 +84,14 @@
 	return errors.CombineErrors(s.Serve(stopSignal(s.Abort)), tracer.Close())
 }
 
-// settingsFlag adds the required flag that names the settings file.
+// settingsFlag adds the required flag for the path of the settings file.
 func settingsFlag(cmd *cobra.Command, file *string) {
 	cmd.Flags().StringVarP(file, "settings", "s", "", "settings file (JSON)")
 	_ = cmd.MarkFlagRequired("settings")
 }
 
-// stopSignal is closed by the first SIGTERM or SIGINT; the second one calls
-// again.
+// stopSignal returns a channel that is closed at the first SIGTERM or SIGINT; the
+// second one calls again.
 func stopSignal(again func()) <-chan struct{} {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/goldcrestd/commands_test.go
+++ b/cmd/goldcrestd/commands_test.go
@@ -39,10 +39,11 @@
 	c.Check(err, quicktest.ErrorMatches, `role "gateway": want router, sidecar or direct`)
 }
 
-// The deployed routers take new streams for longer than the balancer needs to
-// notice that they leave (two questions, one a second), and refuse them before
-// the three seconds after which one that they took may not be cut at the end
-// (LOST on plgc-port trouble-2: one was taken 3.002 s after the signal).
+// Guards the bounds of the deployed linger setting. A stopping router must accept new
+// streams for longer than the load balancer needs to take it out of rotation (two health
+// checks, one per second). It must reject them before three seconds have passed, because a
+// stream accepted later than that must not be cut off at shutdown (LOST on plgc-port
+// trouble-2: a stream was accepted 3.002 s after the signal).
 func TestTheDeployedLingerLiesBetweenTheBounds(t *testing.T) {
 	c := quicktest.New(t)
 	data, err := os.ReadFile("../../deploy/router.json.tmpl")
@@ -55,7 +56,7 @@
 	c.Check(linger <= 2800*time.Millisecond, quicktest.IsTrue)
 }
 
-// A process whose settings are wrong must end before it binds anything.
+// A process with invalid settings must exit before it binds any address.
 func TestBadSettingsBindNothing(t *testing.T) {
 	c := quicktest.New(t)
 	data, err := os.ReadFile("../../docs/examples/router.json")
--- a/cmd/goldcrestd/direct.go
+++ b/cmd/goldcrestd/direct.go
@@ -37,12 +37,12 @@
 	return cmd
 }
 
-// freshnessShare of the time in which a key must stop working is the greatest
-// age of the configuration; the rest is the way of a request to its server.
+// freshnessShare is the part of the key revocation bound that is allowed as staleness of
+// the configuration; the rest is for the time that a request takes to its server.
 const freshnessShare = 0.94
 
-// heapShare of the process's memory is the collector's soft limit; the rest is
-// for stacks, buffers of the kernel and what the limit overshoots.
+// heapShare is the part of the process's memory that is the soft memory limit of the
+// garbage collector; the rest is for stacks, kernel buffers and overshoot of the limit.
 const heapShare = 0.7
 
 func runDirect(file string) error {
@@ -71,9 +71,8 @@
 	return err
 }
 
-// flushBound is how long the last lines of the log may take at the end: a
-// reader that keeps up takes some milliseconds, and one that stalls must not
-// hold up a planned stop.
+// flushBound bounds the flush of the last log lines at shutdown: a reader that keeps
+// up takes a few milliseconds, and a stalled one must not delay a planned stop.
 const flushBound = 100 * time.Millisecond
 
 func directConfig(set settings.Direct) direct.Config {
@@ -92,25 +91,26 @@
 	}
 }
 
-// stalenessConfig bounds what may rest on old knowledge of who leaves.
+// stalenessConfig returns the bound on the staleness of server departures.
 func stalenessConfig(set settings.Direct) staleness.Config {
 	c := staleness.DefaultConfig()
 	c.Bound = set.Departure.D()
 	return c
 }
 
-// silenceShare of the bound on requests to servers that left is how long a server that is
-// known to leave may be silent; the rest is for hearing of it.
+// silenceShare is the part of the bound on requests to departed servers for which a
+// server that is known to be shutting down may be silent; the rest is for the news of its
+// shutdown to arrive.
 const silenceShare = 0.5
 
-// backendConfig bounds what is on its way to servers that leave.
+// backendConfig bounds the requests in flight to servers that are shutting down.
 func backendConfig(set settings.Direct) backend.Config {
 	c := backend.DefaultConfig()
 	c.InFlight.Silence = scale(set.Departure.D(), silenceShare)
 	return c
 }
 
-// warmupConfig bounds cold servers as the settings say.
+// warmupConfig returns the limits for cold servers from the settings.
 func warmupConfig(set settings.Direct) warmup.Config {
 	c := warmup.DefaultConfig()
 	c.Overrun, c.Slack = set.ColdServers.Overrun, set.ColdServers.Slack
@@ -119,12 +119,12 @@
 
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(by * float64(d)) }
 
-// reloadEvery is the time between looks at the settings file, which may change
+// reloadEvery is the interval at which the settings file is polled, as it may change
 // without a signal.
 const reloadEvery = 2 * time.Second
 
-// reload puts changed settings in force, at a signal or when the file differs.
-// Settings that are wrong leave those before in force.
+// reload applies changed settings, at a signal or when the file has changed. If the
+// new settings are invalid, the previous ones stay in effect.
 func reload(file string, hangUp <-chan os.Signal, r *direct.Router) {
 	before, _ := os.ReadFile(file)
 	for {
--- a/cmd/goldcrestd/freeze_test.go
+++ b/cmd/goldcrestd/freeze_test.go
@@ -19,7 +19,7 @@
 	"goldcrestport/transport/link"
 )
 
-// start sends one attempt and returns what comes first.
+// start sends one attempt and returns the first message of the response.
 func start(t *testing.T, pool *link.Pool, addr, request, incarnation string) *wire.RunDown {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -35,7 +35,7 @@
 	return down
 }
 
-// freeze stops the process and waits until every thread of it has stopped.
+// freeze stops the process with SIGSTOP and waits until all its threads have stopped.
 func freeze(c *qt.C, p *os.Process) {
 	c.Assert(p.Signal(syscall.SIGSTOP), qt.IsNil)
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.Pid))
@@ -48,8 +48,9 @@
 	}
 }
 
-// A sidecar that was frozen for longer than its lease, and whose slot another
-// one took meanwhile, does not run what reached it while it was frozen.
+// Guards against a sidecar that acts on outdated state: it is frozen for longer than its
+// lease and another sidecar takes over its slot. When it continues, it must not run the
+// requests that reached it while it was frozen.
 func TestFrozenSidecarDoesNothingOnOldKnowledge(t *testing.T) {
 	c := qt.New(t)
 	var runs atomic.Int64
--- a/cmd/goldcrestd/killed_test.go
+++ b/cmd/goldcrestd/killed_test.go
@@ -11,8 +11,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A router with sidecars was killed in the middle of an answer, and a caller that gets no chunks
-// read the end of its connection as that of the answer.
+// Guards against a truncated response that looks complete: a router with sidecars is killed in
+// the middle of a response, and an HTTP/1.0 caller, which gets no chunked encoding, takes the end
+// of its connection for the end of the response.
 func TestAKilledRouterWithSidecarsLeavesNoAnswerThatLooksWhole(t *testing.T) {
 	c := qt.New(t)
 	f := newRolling(t)
--- a/cmd/goldcrestd/processes_test.go
+++ b/cmd/goldcrestd/processes_test.go
@@ -20,7 +20,7 @@
 
 const testLease = 4 * time.Second
 
-// processes builds and starts the binaries.
+// processes builds the binaries and starts processes of them.
 type processes struct {
 	t   *testing.T
 	dir string
@@ -54,7 +54,7 @@
 	return lis.Addr().String()
 }
 
-// waitOK waits until the URL answers with success.
+// waitOK waits until the URL returns status 200.
 func (p *processes) waitOK(url string) {
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		resp, err := http.Get(url)
@@ -66,10 +66,10 @@
 			return
 		}
 	}
-	p.t.Fatalf("no success from %s", url)
+	p.t.Fatalf("%s did not return status 200 in time", url)
 }
 
-// platform starts a platform with the configuration and returns its URL.
+// platform starts a stand-in of the platform with the configuration and returns its URL.
 func (p *processes) platform(host int, doc string) string {
 	at := p.address(host)
 	p.start("standin", "platform", "--listen", at, "--list-lag", "200ms")
--- a/cmd/goldcrestd/rolling_test.go
+++ b/cmd/goldcrestd/rolling_test.go
@@ -22,24 +22,24 @@
 
 const (
 	rollingToken = "rolling-token"
-	// slowCaller is the begin of the pledges that run for slowRun, longer
-	// than a process that leaves with nothing held stays.
+	// slowCaller is the prefix of the ids of pledges that run for slowRun,
+	// longer than a stopping process without requests in flight stays up.
 	slowCaller = "slow-pledge-"
 	slowRun    = 3 * time.Second
 )
 
-// member is one process of the fleet that can be restarted.
+// member is a process of the fleet that can be restarted.
 type member struct {
 	process *os.Process
 	file    string
 	role    string
 	ready   string
 	callers string
-	// up is what the balancer thinks of a router.
+	// up reports whether the load balancer considers the router ready.
 	up atomic.Bool
 }
 
-// rolling is a fleet of two routers and two sidecars before one backend
+// rolling is a fleet of two routers and two sidecars in front of one backend
 // server that counts the runs of each call.
 type rolling struct {
 	p       *processes
@@ -64,7 +64,8 @@
 	return f
 }
 
-// serve is the backend server: it answers with the body in two parts.
+// serve handles requests as the backend server: it sends the request body twice, with a
+// delay in between.
 func (f *rolling) serve(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	f.mu.Lock()
@@ -116,7 +117,7 @@
 	f.p.waitOK(m.ready)
 }
 
-// restart ends a member gracefully and starts it again.
+// restart stops a member gracefully and starts it again.
 func (f *rolling) restart(m *member) {
 	qt.Assert(f.p.t, m.process.Signal(syscall.SIGTERM), qt.IsNil)
 	state, err := m.process.Wait()
@@ -125,7 +126,7 @@
 	f.startMember(m)
 }
 
-// balance looks at the routers' readiness as a balancer does.
+// balance polls the readiness of the routers as a load balancer does.
 func (f *rolling) balance(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, m := range f.members {
@@ -142,7 +143,8 @@
 	}
 }
 
-// call sends one pledge through a router that is up and returns its result.
+// call sends one pledge through a router that is up and returns an error unless the
+// response is complete.
 func (f *rolling) call(id string, n int) error {
 	var up []*member
 	for _, m := range f.members {
@@ -173,8 +175,8 @@
 	return nil
 }
 
-// Every process of the fleet is restarted under load: each pledge is answered
-// whole by its first call, and ran once.
+// Restarts every process of the fleet under load: each pledge gets a complete response
+// to its first call, and runs exactly once.
 func TestRollingRestartLosesNothing(t *testing.T) {
 	c := qt.New(t)
 	f := newRolling(t)
--- a/cmd/goldcrestd/template_test.go
+++ b/cmd/goldcrestd/template_test.go
@@ -17,7 +17,7 @@
 	"goldcrestport/protocol/settings"
 )
 
-// fields are what the users' platform fills the template from, as an example.
+// fields returns example values from which the users' platform fills the template.
 func fields() map[string]any {
 	return map[string]any{
 		"nodeName": "edge-hall-pamp-1", "zone": "hall-pamp", "ip": "10.1.0.33",
@@ -33,7 +33,7 @@
 	}
 }
 
-// with returns the fields with one more value of the table, or without it.
+// with returns the fields with one value of a table replaced, or removed if it is nil.
 func with(table, field string, value any) map[string]any {
 	all := fields()
 	inner := maps.Clone(all[table].(map[string]any))
@@ -57,9 +57,10 @@
 	placeholder = regexp.MustCompile(`\{\{([\w.]+)(\|json)?\}\}`)
 )
 
-// render fills a template as the platform's pages say: sections once for each
-// entry of a list or once for a value that is there, inverted ones where none is,
-// values as text or as JSON. Sections of one name are not nested here.
+// render fills a template as documented by the platform: sections are rendered once for
+// each entry of a list or once for a present value, inverted sections if the value is
+// absent, and values as text or as JSON. Nested sections of the same name are not
+// supported.
 func render(c *quicktest.C, template string, all map[string]any) string {
 	for {
 		at := section.FindStringSubmatchIndex(template)
@@ -136,7 +137,7 @@
 	}
 }
 
-// deployed loads the settings that the deployed template gives with the fields.
+// deployed loads the settings that result from the deployed template with the fields.
 func deployed(c *quicktest.C, all map[string]any) (settings.Direct, error) {
 	template, err := os.ReadFile("../../deploy/router.json.tmpl")
 	c.Assert(err, quicktest.IsNil)
@@ -165,14 +166,14 @@
 	c.Check(set.Linger(), quicktest.Equals, 2700*time.Millisecond)
 }
 
-// Bounds are whole numbers, fractions, or true or false, and any may be missing:
-// a router must start with each that it can run with. A bound that is no whole
-// number once ended every router of a fleet at its start.
+// Bounds are integers, fractions or booleans, and any may be missing: a router must start
+// with every value that it can run with. A bound that was not an integer once made every
+// router of a fleet exit at its start.
 func TestTheDeployedTemplateTakesEveryBound(t *testing.T) {
 	for _, field := range []string{"revokeMs", "retryRatio", "retryWindowS", "retrySlack", "eventDelayMs", "graceS", "coldOverrun", "coldSlack"} {
 		for _, value := range []any{nil, 0.5, 1.5, 12.25, 100000, 1000000.5} {
 			if field == "revokeMs" && (value == 0.5 || value == 1.5) {
-				// Nothing can be known to be that new, see below.
+				// No configuration can be that fresh; such values are rejected, see below.
 				continue
 			}
 			t.Run(fmt.Sprintf("%s %v", field, value), func(t *testing.T) {
@@ -206,8 +207,8 @@
 	}
 }
 
-// What the product cannot run with is one line that names the setting, its value
-// and the range.
+// Settings that a router cannot run with are reported in one line with the setting, its
+// value and the range.
 func TestTheDeployedTemplateRefusesInOneLine(t *testing.T) {
 	for _, tc := range []struct {
 		field string
--- a/cmd/goldcrestd/validate.go
+++ b/cmd/goldcrestd/validate.go
@@ -7,14 +7,15 @@
 	"goldcrestport/protocol/settings"
 )
 
-// Roles that a settings file can be for.
+// Roles of a process, each with its own settings.
 const (
 	roleRouter  = "router"
 	roleSidecar = "sidecar"
 	roleDirect  = "direct"
 )
 
-// validateCommand checks a settings file without starting anything.
+// validateCommand returns the command that checks a settings file without starting a
+// process.
 func validateCommand() *cobra.Command {
 	var role, file string
 	cmd := &cobra.Command{
--- a/layers_test.go
+++ b/layers_test.go
@@ -1,4 +1,4 @@
-// Package layers checks the import direction of the product's layers.
+// Package layers checks the import direction between the layers of the project.
 package layers
 
 import (
@@ -16,11 +16,11 @@
 
 const module = "goldcrestport/"
 
-// order holds the layers from the top down. A layer imports itself and those
+// order lists the layers from the top down. A layer may import itself and those
 // after it.
 var order = []string{"cmd", "platform", "transport", "protocol", "coordination", "state"}
 
-// pure names the layers without input, output, clock or goroutines.
+// pure lists the layers without I/O, clock or goroutines.
 var pure = []string{"coordination", "state"}
 
 // impure lists standard packages that the pure layers must not import, with
@@ -33,16 +33,16 @@
 // below reports whether path is pkg or lies below it.
 func below(path, pkg string) bool { return path == pkg || strings.HasPrefix(path, pkg+"/") }
 
-// fault tells what is wrong with an import by a file of the layer, if
-// anything.
+// fault returns why a file of the layer must not import the path, or "" if it
+// may.
 func fault(layer, path string) string {
 	if below(path, "net/http/httputil") {
-		return "no proxying from libraries"
+		return "the proxy of the standard library must not be used"
 	}
 	if slices.Contains(pure, layer) {
 		for _, p := range impure {
 			if below(path, p) && path != "math/rand/v2" {
-				return "the layer is pure"
+				return "a pure layer must not use I/O, clocks or concurrency"
 			}
 		}
 	}
@@ -53,7 +53,7 @@
 	target, _, _ := strings.Cut(inside, "/")
 	from, to := slices.Index(order, layer), slices.Index(order, target)
 	if to < 0 || from >= 0 && to < from {
-		return "against the order of the layers"
+		return "imports of a higher layer are not allowed"
 	}
 	return ""
 }
--- a/platform_test.go
+++ b/platform_test.go
@@ -13,14 +13,14 @@
 )
 
 // platformNames are names of the users' platform that only the adapter and the
-// stand-ins may hold.
+// stand-ins may contain.
 var platformNames = []string{
 	"kv-range", "kv-watch", "kv-txn", "kv-lease", "op/config", "servers/", "pathPrefix", "routeKind", "apiKeys", "sloMs", "itlTargetMs",
 	"Attempt-Id", "Replica-Stamp", "Not-Executed", "Prompt-Prefix", "Expect-Replica", "Deadline-Ms", "Replica-Load", "Token-Count", "GOLDCRESTPORT_BOOT",
 }
 
-// TestOnlyTheAdapterKnowsThePlatform finds the platform's names, and imports of
-// its adapter, outside the adapter and the mains.
+// TestOnlyTheAdapterKnowsThePlatform checks that the platform's names are used in the
+// adapter only, and that only main packages import the adapter.
 func TestOnlyTheAdapterKnowsThePlatform(t *testing.T) {
 	for _, layer := range []string{"cmd", "transport", "protocol", "coordination", "state"} {
 		err := filepath.WalkDir(layer, func(path string, _ fs.DirEntry, err error) error {
@@ -42,7 +42,7 @@
 	quicktest.Assert(t, err, quicktest.IsNil)
 	for _, name := range platformNames {
 		if strings.Contains(string(data), name) {
-			t.Errorf("%s holds the platform's name %q", path, name)
+			t.Errorf("%s contains the platform's name %q", path, name)
 		}
 	}
 }
--- a/vars_test.go
+++ b/vars_test.go
@@ -12,12 +12,12 @@
 	"github.com/frankban/quicktest"
 )
 
-// publishers are the functions of package expvar that put a name into the
-// registry of the whole program.
+// publishers are the functions of package expvar that register a name in the
+// global registry of the program.
 var publishers = []string{"NewInt", "NewFloat", "NewString", "NewMap", "Publish"}
 
-// TestMetricsBelongToAProcess finds metrics that all routers or sidecars of
-// one program would share.
+// TestMetricsBelongToAProcess checks that no metric is global: all routers or
+// sidecars in one program would share it.
 func TestMetricsBelongToAProcess(t *testing.T) {
 	for _, layer := range order {
 		err := filepath.WalkDir(layer, func(path string, _ fs.DirEntry, err error) error {
