--- a/clock_test.go
+++ b/clock_test.go
@@ -15,7 +15,7 @@
 			t.Errorf("%s starts a goroutine", path)
 		case *ast.SelectorExpr:
 			pkg, ok := n.X.(*ast.Ident)
-			if ok && pkg.Name == "time" && slices.Contains(clockCalls, n.Sel.Name) {
+			if ok && pkg.Name == "time" && slices.Contains(clockFuncs, n.Sel.Name) {
 				t.Errorf("%s calls time.%s", path, n.Sel.Name)
 			}
 		}
--- a/cmd/goldcrestctl/config.go
+++ b/cmd/goldcrestctl/config.go
@@ -14,13 +14,13 @@
 
 func (a *app) configCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "config", Short: "See the configuration"}
-	var bare bool
-	get := command("get", "Print the newest configuration", cobra.NoArgs, func(ctx context.Context, _ []string) error {
+	var intentOnly bool
+	get := newCommand("get", "Print the newest configuration", cobra.NoArgs, func(ctx context.Context, _ []string) error {
 		c, err := a.client().Config(ctx)
 		if err != nil {
 			return err
 		}
-		if bare {
+		if intentOnly {
 			return a.printJSON(c.Intent)
 		}
 		if a.format == formatJSON {
@@ -28,20 +28,20 @@
 		}
 		return a.configTable(c)
 	})
-	get.Flags().BoolVar(&bare, "intent", false, "print only the intent, ready to be edited and planned")
+	get.Flags().BoolVar(&intentOnly, "intent", false, "print only the intent, ready to be edited and planned")
 	cmd.AddCommand(get)
 	return cmd
 }
 
 func (a *app) configTable(c *operator.ConfigResponse) error {
-	a.say("Revision %d by %s at %s, in force at this router: %d", c.Revision, orNone(c.By), c.At.Format(timeFormat), c.InForce)
+	a.printLine("Revision %d by %s at %s, in force at this router: %d", c.Revision, orNone(c.By), c.At.Format(timeFormat), c.InForce)
 	if !c.FromPlatform {
-		a.say("The platform could not be asked: a newer revision may exist.")
+		a.printLine("The platform could not be asked: a newer revision may exist.")
 	}
 	w := a.table("TEAM", "SHARE", "TOKENS", "SERVICES")
 	for _, name := range sortedKeys(c.Intent.Teams) {
 		t := c.Intent.Teams[name]
-		row(w, name, strconv.FormatFloat(t.Share, 'g', -1, 64), strconv.Itoa(len(t.Tokens)), strings.Join(t.Services, " "))
+		writeRow(w, name, strconv.FormatFloat(t.Share, 'g', -1, 64), strconv.Itoa(len(t.Tokens)), strings.Join(t.Services, " "))
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -53,20 +53,20 @@
 		for i, m := range s.Models {
 			models[i] = m.Name + "@" + m.Version
 		}
-		row(w, name, string(s.Kind), orNone(strings.Join(s.NonIdempotent, " ")), orNone(strings.Join(models, " ")))
+		writeRow(w, name, string(s.Kind), orNone(strings.Join(s.NonIdempotent, " ")), orNone(strings.Join(models, " ")))
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	a.say("Drained: %s", orNone(strings.Join(c.Intent.Drain, " ")))
-	a.say("Evacuated: %s", orNone(strings.Join(c.Intent.Evacuate, " ")))
-	a.say("Operators: %s", strings.Join(sortedKeys(c.Intent.Operators), " "))
+	a.printLine("Drained: %s", orNone(strings.Join(c.Intent.Drain, " ")))
+	a.printLine("Evacuated: %s", orNone(strings.Join(c.Intent.Evacuate, " ")))
+	a.printLine("Operators: %s", strings.Join(sortedKeys(c.Intent.Operators), " "))
 	return nil
 }
 
 func (a *app) historyCommand() *cobra.Command {
 	var n int
-	cmd := command("history", "List the last accepted revisions, the newest first", cobra.NoArgs, func(ctx context.Context, _ []string) error {
+	cmd := newCommand("history", "List the last accepted revisions, the newest first", cobra.NoArgs, func(ctx context.Context, _ []string) error {
 		h, err := a.client().History(ctx, n)
 		if err != nil {
 			return err
@@ -76,7 +76,7 @@
 		}
 		w := a.table("REVISION", "AT", "BY", "DIGEST", "CHANGES")
 		for _, e := range h.Entries {
-			row(w, strconv.FormatUint(e.Revision, 10), e.At.Format(timeFormat), orNone(e.By), short(e.Digest), orNone(e.Summary))
+			writeRow(w, strconv.FormatUint(e.Revision, 10), e.At.Format(timeFormat), orNone(e.By), shortenDigest(e.Digest), orNone(e.Summary))
 		}
 		return w.Flush()
 	})
@@ -84,13 +84,13 @@
 	return cmd
 }
 
-// shortDigest is the length of a digest in tables.
-const shortDigest = 12
+// shortDigestLength is the length of a digest in tables.
+const shortDigestLength = 12
 
-func short(digest string) string { return orNone(digest[:min(len(digest), shortDigest)]) }
+func shortenDigest(digest string) string { return orNone(digest[:min(len(digest), shortDigestLength)]) }
 
 func (a *app) settleCommand() *cobra.Command {
-	return command("settle BASE-DIGEST", "Ask what became of a plan whose confirmation got no answer", cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
+	return newCommand("settle BASE-DIGEST", "Ask what became of a plan whose confirmation got no answer", cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
 		text, digest, ok := strings.Cut(args[0], "-")
 		base, err := strconv.ParseUint(text, 10, 64)
 		if err != nil || !ok || digest == "" {
@@ -103,7 +103,7 @@
 		if a.format == formatJSON {
 			return a.printJSON(s)
 		}
-		a.say("%s", settleText(s))
+		a.printLine("%s", settleText(s))
 		return nil
 	})
 }
@@ -122,8 +122,8 @@
 }
 
 // table starts a table with its header row.
-func (a *app) table(head ...string) *tabwriter.Writer {
+func (a *app) table(header ...string) *tabwriter.Writer {
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
-	row(w, head...)
+	writeRow(w, header...)
 	return w
 }
--- a/cmd/goldcrestctl/drain.go
+++ b/cmd/goldcrestctl/drain.go
@@ -18,28 +18,28 @@
 const drainAttempts = 8
 
 func (a *app) drainCommand() *cobra.Command {
-	return a.drainLike("drain BACKEND", "Give a backend server no new work", func(in *intent.Intent, id string) {
-		in.Drain = listed(in.Drain, id, true)
+	return a.editCommand("drain BACKEND", "Give a backend server no new work", func(in *intent.Intent, id string) {
+		in.Drain = setListed(in.Drain, id, true)
 	})
 }
 
 func (a *app) undrainCommand() *cobra.Command {
-	return a.drainLike("undrain BACKEND", "Let a backend server take work again", func(in *intent.Intent, id string) {
-		in.Drain = listed(in.Drain, id, false)
+	return a.editCommand("undrain BACKEND", "Let a backend server take work again", func(in *intent.Intent, id string) {
+		in.Drain = setListed(in.Drain, id, false)
 	})
 }
 
 func (a *app) evacuateCommand() *cobra.Command {
 	var undo bool
-	cmd := a.drainLike("evacuate DATACENTRE", "Give the backend servers of a data centre no new work", func(in *intent.Intent, name string) {
-		in.Evacuate = listed(in.Evacuate, name, !undo)
+	cmd := a.editCommand("evacuate DATACENTRE", "Give the backend servers of a data centre no new work", func(in *intent.Intent, name string) {
+		in.Evacuate = setListed(in.Evacuate, name, !undo)
 	})
 	cmd.Flags().BoolVar(&undo, "undo", false, "let them take work again")
 	return cmd
 }
 
-// listed returns the list with the name added, or removed if with is false.
-func listed(list []string, name string, with bool) []string {
+// setListed returns the list with the name added, or removed if with is false.
+func setListed(list []string, name string, with bool) []string {
 	list = slices.DeleteFunc(list, func(one string) bool { return one == name })
 	if with {
 		list = append(list, name)
@@ -47,14 +47,14 @@
 	return list
 }
 
-// edit changes the intent for the named backend server or data centre.
-type edit func(in *intent.Intent, name string)
+// intentEdit changes the intent for the named backend server or data centre.
+type intentEdit func(in *intent.Intent, name string)
 
-func (a *app) drainLike(use, text string, change edit) *cobra.Command {
+func (a *app) editCommand(use, text string, change intentEdit) *cobra.Command {
 	var yes bool
 	var save string
 	var wait time.Duration
-	cmd := command(use, text, cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
+	cmd := newCommand(use, text, cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
 		if !yes {
 			p, err := a.planEdit(ctx, args[0], change)
 			if err != nil {
@@ -62,7 +62,7 @@
 			}
 			return a.showPlan(p, save)
 		}
-		return a.editNow(ctx, args[0], change, wait)
+		return a.confirmEdit(ctx, args[0], change, wait)
 	})
 	cmd.Flags().BoolVarP(&yes, "yes", "y", false, "confirm the plan at once")
 	addWait(cmd, &wait)
@@ -72,7 +72,7 @@
 
 // planEdit plans the edit of the newest configuration. It sends the base revision, so
 // that the plan can't undo a concurrent change.
-func (a *app) planEdit(ctx context.Context, name string, change edit) (*operator.PlanResponse, error) {
+func (a *app) planEdit(ctx context.Context, name string, change intentEdit) (*operator.PlanResponse, error) {
 	c, err := a.client().Config(ctx)
 	if err != nil {
 		return nil, err
@@ -86,33 +86,33 @@
 	return a.client().Plan(ctx, data, &c.Revision)
 }
 
-func (a *app) editNow(ctx context.Context, name string, change edit, wait time.Duration) error {
+func (a *app) confirmEdit(ctx context.Context, name string, change intentEdit, wait time.Duration) error {
 	for attempt := 1; ; attempt++ {
-		err := a.tryEdit(ctx, name, change, wait)
+		err := a.confirmEditOnce(ctx, name, change, wait)
 		if !isStale(err) || attempt == drainAttempts {
 			return err
 		}
 	}
 }
 
-func (a *app) tryEdit(ctx context.Context, name string, change edit, wait time.Duration) error {
+func (a *app) confirmEditOnce(ctx context.Context, name string, change intentEdit, wait time.Duration) error {
 	p, err := a.planEdit(ctx, name, change)
 	if err != nil {
 		return err
 	}
 	if p.Plan.Empty() {
-		a.say("Nothing to change for %s.", name)
+		a.printLine("Nothing to change for %s.", name)
 		return nil
 	}
 	if a.format == formatTable {
 		for _, line := range p.Plan.Lines() {
-			a.say("%s", line)
+			a.printLine("%s", line)
 		}
 	}
 	data, err := json.Marshal(p.Intent)
 	if err != nil {
 		return err
 	}
-	ask := operator.ConfirmRequest{Intent: data, BaseRevision: p.Plan.BaseRevision, Digest: p.Plan.Digest}
-	return a.confirm(ctx, ask, wait)
+	request := operator.ConfirmRequest{Intent: data, BaseRevision: p.Plan.BaseRevision, Digest: p.Plan.Digest}
+	return a.confirm(ctx, request, wait)
 }
--- a/cmd/goldcrestctl/exit.go
+++ b/cmd/goldcrestctl/exit.go
@@ -23,9 +23,9 @@
 	exitUnsettled = 5
 )
 
-// errRun marks errors that a command returned; all others are errors in the command
+// errCommand marks errors that a command returned; all others are errors in the command
 // line itself.
-var errRun = errors.New("run")
+var errCommand = errors.New("run")
 
 // errBadInput marks errors in input files and arguments.
 var errBadInput = errors.New("bad input")
@@ -41,11 +41,11 @@
 		return exitOK
 	case errors.As(err, &p):
 		return problemCode(p)
-	case errors.Is(err, errMeets):
+	case errors.Is(err, errConflict):
 		return exitStale
 	case errors.Is(err, operatorclient.ErrUnreachable):
 		return exitUnsettled
-	case errors.Is(err, errBadInput), errors.As(err, &found), !errors.Is(err, errRun):
+	case errors.Is(err, errBadInput), errors.As(err, &found), !errors.Is(err, errCommand):
 		return exitBadInput
 	default:
 		return exitError
--- a/cmd/goldcrestctl/fairness.go
+++ b/cmd/goldcrestctl/fairness.go
@@ -40,7 +40,7 @@
 			if a.format == formatJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(windows)
 			}
-			return o.table(cmd.OutOrStdout(), log, windows)
+			return o.writeTable(cmd.OutOrStdout(), log, windows)
 		},
 	}
 	f := cmd.Flags()
@@ -50,10 +50,10 @@
 	return cmd
 }
 
-// table writes the windows as plain columns, preceded by the least margin of all.
-func (o fairnessOptions) table(to io.Writer, log *fairness.Log, windows []fairness.Result) error {
+// writeTable writes the windows as plain columns, preceded by the least margin of all.
+func (o fairnessOptions) writeTable(to io.Writer, log *fairness.Log, windows []fairness.Result) error {
 	fmt.Fprintf(to, "%d lines, %d broken, %d beyond this command's bounds\n", log.Lines, log.Broken, log.Beyond)
-	if least := leastOf(windows); least != nil {
+	if least := leastMargin(windows); least != nil {
 		fmt.Fprintf(to, "least margin %.2f: team %s from %s\n\n", least.Margin, least.Least, least.Begin.Format("15:04:05"))
 	} else {
 		fmt.Fprint(to, "no team waited through six seconds\n\n")
@@ -67,31 +67,31 @@
 		}
 		fmt.Fprintf(w, "%s\t%s\tleast; best %s %.0f\t%.2f\t\t\t\t\t\t\t\t\n", r.Begin.Format("15:04:05"), r.Least, r.Best, r.BestBegun, r.Margin)
 		if r.Margin < o.below {
-			o.rows(w, r)
+			o.writeRows(w, r)
 		}
 	}
 	return w.Flush()
 }
 
-// rows writes the largest teams of the window, and the routers that received their
+// writeRows writes the largest teams of the window, and the routers that received their
 // requests.
-func (o fairnessOptions) rows(w io.Writer, r *fairness.Result) {
+func (o fairnessOptions) writeRows(w io.Writer, r *fairness.Result) {
 	for i, row := range r.Rows {
 		if i >= o.teams && row.Team != r.Least && row.Team != r.Best {
 			continue
 		}
-		use(w, row.Team, "all", fmt.Sprintf("%.2f\t%.2f", row.Margin, row.OfBest), row.Use, row.Bound)
+		writeUse(w, row.Team, "all", fmt.Sprintf("%.2f\t%.2f", row.Margin, row.OfBest), row.Use, row.Bound)
 		for j, place := range row.Places {
 			if j == o.places {
 				break
 			}
-			use(w, "", place.DataCentre+" "+place.Router, "\t", place.Use, "")
+			writeUse(w, "", place.DataCentre+" "+place.Router, "\t", place.Use, "")
 		}
 	}
 }
 
-// use writes one row; ratios contains the columns "margin" and "of best".
-func use(w io.Writer, team, at, ratios string, u fairness.Use, bound fairness.Bound) {
+// writeUse writes one row; ratios contains the columns "margin" and "of best".
+func writeUse(w io.Writer, team, at, ratios string, u fairness.Use, bound fairness.Bound) {
 	decided := 0.0
 	if tries := u.Requests + u.Unread; tries > 0 {
 		decided = float64(u.Requests) / float64(tries)
@@ -99,8 +99,8 @@
 	fmt.Fprintf(w, "\t%s\t%s\t%s\t%.0f\t%.0f\t%.0f\t%d\t%d\t%.2f\t%s\n", team, at, ratios, u.Asked, u.Begun, u.Delivered, u.Requests, u.Unread, decided, bound)
 }
 
-// leastOf returns the window with the least margin, or nil if no team waited.
-func leastOf(windows []fairness.Result) *fairness.Result {
+// leastMargin returns the window with the least margin, or nil if no team waited.
+func leastMargin(windows []fairness.Result) *fairness.Result {
 	var least *fairness.Result
 	for i := range windows {
 		if r := &windows[i]; r.Least != "" && (least == nil || r.Margin < least.Margin) {
--- a/cmd/goldcrestctl/losses.go
+++ b/cmd/goldcrestctl/losses.go
@@ -51,7 +51,7 @@
 			if a.format == formatJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(t)
 			}
-			return o.table(cmd.OutOrStdout(), t)
+			return o.writeTable(cmd.OutOrStdout(), t)
 		},
 	}
 	f := cmd.Flags()
@@ -62,8 +62,8 @@
 	return cmd
 }
 
-// table writes the groups as plain columns, preceded by a line of totals.
-func (o lossesOptions) table(to io.Writer, t *losses.Tally) error {
+// writeTable writes the groups as plain columns, preceded by a line of totals.
+func (o lossesOptions) writeTable(to io.Writer, t *losses.Tally) error {
 	fmt.Fprintf(to, "%d requests in %d lines; %d lines were broken, %d requests left out by the routers, %d beyond this command's bounds\n\n",
 		t.Requests, t.Lines, t.Broken, t.LeftOut, t.Beyond)
 	w := tabwriter.NewWriter(to, 0, 8, 2, ' ', 0)
--- a/cmd/goldcrestctl/losses_plot.go
+++ b/cmd/goldcrestctl/losses_plot.go
@@ -24,10 +24,10 @@
 	p.Y.Label.Text = "requests"
 	p.Legend.Top = true
 	err := plotutil.AddLines(p,
-		"in time", series(t, func(s *losses.Second) int { return s.Served }),
-		"late", series(t, func(s *losses.Second) int { return s.Late }),
-		"refused", series(t, func(s *losses.Second) int { return s.Refused }),
-		"failed, cut or left", series(t, func(s *losses.Second) int { return s.Lost }),
+		"in time", secondSeries(t, func(s *losses.Second) int { return s.Served }),
+		"late", secondSeries(t, func(s *losses.Second) int { return s.Late }),
+		"refused", secondSeries(t, func(s *losses.Second) int { return s.Refused }),
+		"failed, cut or left", secondSeries(t, func(s *losses.Second) int { return s.Lost }),
 	)
 	if err != nil {
 		return err
@@ -35,8 +35,8 @@
 	return p.Save(plotWidth, plotHeight, file)
 }
 
-// series returns a value for each second; seconds without a request count as 0.
-func series(t *losses.Tally, value func(*losses.Second) int) plotter.XYs {
+// secondSeries returns a value for each second; seconds without a request count as 0.
+func secondSeries(t *losses.Tally, value func(*losses.Second) int) plotter.XYs {
 	var out plotter.XYs
 	for _, s := range t.Second {
 		x := s.At.Sub(t.Second[0].At).Seconds()
--- a/cmd/goldcrestctl/plan.go
+++ b/cmd/goldcrestctl/plan.go
@@ -31,7 +31,7 @@
 func (a *app) planCommand() *cobra.Command {
 	var file, save string
 	var base uint64
-	cmd := command("plan -f INTENT", "Show what an intent would change; nothing changes", cobra.NoArgs, func(ctx context.Context, _ []string) error {
+	cmd := newCommand("plan -f INTENT", "Show what an intent would change; nothing changes", cobra.NoArgs, func(ctx context.Context, _ []string) error {
 		data, err := a.readFile(file)
 		if err != nil {
 			return err
@@ -73,15 +73,15 @@
 		return a.printJSON(p)
 	}
 	for _, line := range p.Plan.Lines() {
-		a.say("%s", line)
+		a.printLine("%s", line)
 	}
 	switch {
 	case p.Plan.Empty():
-		a.say("Nothing to confirm.")
+		a.printLine("Nothing to confirm.")
 	case save != "":
-		a.say("Nothing is changed yet. To apply exactly this: goldcrestctl confirm %s", save)
+		a.printLine("Nothing is changed yet. To apply exactly this: goldcrestctl confirm %s", save)
 	default:
-		a.say("Nothing is changed. Give --save FILE to keep the plan for 'goldcrestctl confirm FILE'.")
+		a.printLine("Nothing is changed. Give --save FILE to keep the plan for 'goldcrestctl confirm FILE'.")
 	}
 	return nil
 }
@@ -89,7 +89,7 @@
 func (a *app) confirmCommand() *cobra.Command {
 	var wait time.Duration
 	var rebase bool
-	cmd := command("confirm PLANFILE", "Apply exactly the plan in the file, or nothing", cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
+	cmd := newCommand("confirm PLANFILE", "Apply exactly the plan in the file, or nothing", cobra.ExactArgs(1), func(ctx context.Context, args []string) error {
 		data, err := a.readFile(args[0])
 		if err != nil {
 			return err
@@ -104,11 +104,11 @@
 		if err := json.Unmarshal(data, &p); err != nil || p.Plan == nil || p.Intent == nil {
 			return badInput(errors.Newf("%s is not a plan file; 'goldcrestctl plan --save FILE' writes one", args[0]))
 		}
-		ask := operator.ConfirmRequest{Intent: p.Intent, BaseRevision: p.Plan.BaseRevision, Digest: p.Plan.Digest}
+		request := operator.ConfirmRequest{Intent: p.Intent, BaseRevision: p.Plan.BaseRevision, Digest: p.Plan.Digest}
 		if !rebase {
-			return a.confirm(ctx, ask, wait)
+			return a.confirm(ctx, request, wait)
 		}
-		return a.confirmRebased(ctx, ask, func(ask operator.ConfirmRequest) error { return a.confirm(ctx, ask, wait) })
+		return a.confirmRebased(ctx, request, func(request operator.ConfirmRequest) error { return a.confirm(ctx, request, wait) })
 	})
 	addWait(cmd, &wait)
 	cmd.Flags().BoolVar(&rebase, "rebase", false, "if other changes came between, put this plan's changes on top of them unless both touch the same team, service or operator")
@@ -120,15 +120,15 @@
 }
 
 // confirm sends the plan and, if wait is positive, waits until it is in force.
-func (a *app) confirm(ctx context.Context, ask operator.ConfirmRequest, wait time.Duration) error {
-	done, err := a.client().Confirm(ctx, ask)
+func (a *app) confirm(ctx context.Context, request operator.ConfirmRequest, wait time.Duration) error {
+	done, err := a.client().Confirm(ctx, request)
 	if err != nil {
-		return errors.Wrapf(err, "plan %d-%s", ask.BaseRevision, ask.Digest)
+		return errors.Wrapf(err, "plan %d-%s", request.BaseRevision, request.Digest)
 	}
 	if err := a.showConfirmed(done); err != nil || wait <= 0 {
 		return err
 	}
-	return a.await(ctx, done.Revision, wait)
+	return a.awaitRollout(ctx, done.Revision, wait)
 }
 
 func (a *app) showConfirmed(done *operator.ConfirmResponse) error {
@@ -136,12 +136,12 @@
 		return a.printJSON(done)
 	}
 	if done.Already {
-		a.say("Already accepted as revision %d (by %s at %s).", done.Revision, orNone(done.By), done.At.Format(timeFormat))
+		a.printLine("Already accepted as revision %d (by %s at %s).", done.Revision, orNone(done.By), done.At.Format(timeFormat))
 	} else {
-		a.say("Accepted as revision %d: %s", done.Revision, orNone(done.Summary))
+		a.printLine("Accepted as revision %d: %s", done.Revision, orNone(done.Summary))
 	}
 	if done.Newest > done.Revision {
-		a.say("Revision %d has followed it since.", done.Newest)
+		a.printLine("Revision %d has followed it since.", done.Newest)
 	}
 	return nil
 }
@@ -149,7 +149,7 @@
 func (a *app) rollbackCommand() *cobra.Command {
 	var save string
 	var to uint64
-	cmd := command("rollback --to REVISION", "Plan a new revision with the content of an older one", cobra.NoArgs, func(ctx context.Context, _ []string) error {
+	cmd := newCommand("rollback --to REVISION", "Plan a new revision with the content of an older one", cobra.NoArgs, func(ctx context.Context, _ []string) error {
 		p, err := a.client().RollbackPlan(ctx, to)
 		if err != nil {
 			return err
@@ -163,7 +163,7 @@
 }
 
 func (a *app) validateCommand() *cobra.Command {
-	return command("validate INTENT", "Check an intent file without asking a router", cobra.ExactArgs(1), func(_ context.Context, args []string) error {
+	return newCommand("validate INTENT", "Check an intent file without asking a router", cobra.ExactArgs(1), func(_ context.Context, args []string) error {
 		data, err := a.readFile(args[0])
 		if err != nil {
 			return err
@@ -172,13 +172,13 @@
 		if err != nil {
 			return err
 		}
-		a.say("%s: valid, %d teams, %d services", args[0], len(in.Teams), len(in.Services))
+		a.printLine("%s: valid, %d teams, %d services", args[0], len(in.Teams), len(in.Services))
 		return nil
 	})
 }
 
 func (a *app) schemaCommand() *cobra.Command {
-	return command("schema", "Print the JSON schema of an intent", cobra.NoArgs, func(context.Context, []string) error {
+	return newCommand("schema", "Print the JSON schema of an intent", cobra.NoArgs, func(context.Context, []string) error {
 		_, err := a.out.Write(intent.Schema())
 		return err
 	})
--- a/cmd/goldcrestctl/rebase.go
+++ b/cmd/goldcrestctl/rebase.go
@@ -25,20 +25,20 @@
 
 // confirmRebased confirms the plan. After concurrent changes it rebases the plan onto
 // the newest revision, unless the changes conflict.
-func (a *app) confirmRebased(ctx context.Context, ask operator.ConfirmRequest, confirm func(operator.ConfirmRequest) error) error {
-	mine, err := documentOf(ask.Intent)
+func (a *app) confirmRebased(ctx context.Context, request operator.ConfirmRequest, confirm func(operator.ConfirmRequest) error) error {
+	planned, err := parseDocument(request.Intent)
 	if err != nil {
 		return err
 	}
-	if err = confirm(ask); !isStale(err) {
+	if err = confirm(request); !isStale(err) {
 		return err
 	}
-	base, err := a.contentOf(ctx, ask.BaseRevision)
+	base, err := a.documentAt(ctx, request.BaseRevision)
 	if err != nil {
 		return err
 	}
 	for range rebaseAttempts {
-		err = a.rebaseOnce(ctx, base, mine, confirm)
+		err = a.rebaseOnce(ctx, base, planned, confirm)
 		if !isStale(err) {
 			return err
 		}
@@ -46,16 +46,16 @@
 	return err
 }
 
-// rebaseOnce plans the changes from base to mine against the newest revision, prints
+// rebaseOnce plans the changes from base to planned against the newest revision, prints
 // the plan and confirms it.
-func (a *app) rebaseOnce(ctx context.Context, base, mine *config.Document, confirm func(operator.ConfirmRequest) error) error {
+func (a *app) rebaseOnce(ctx context.Context, base, planned *config.Document, confirm func(operator.ConfirmRequest) error) error {
 	newest, err := a.client().Config(ctx)
 	if err != nil {
 		return err
 	}
-	merged, both := plan.Rebase(base, mine, newest.Intent.Document())
-	if len(both) > 0 {
-		return errors.Wrapf(errMeets, "others changed %s too; plan again", strings.Join(both, ", "))
+	merged, conflicts := plan.Rebase(base, planned, newest.Intent.Document())
+	if len(conflicts) > 0 {
+		return errors.Wrapf(errConflict, "others changed %s too; plan again", strings.Join(conflicts, ", "))
 	}
 	data, err := json.Marshal(intent.FromDocument(merged))
 	if err != nil {
@@ -66,21 +66,21 @@
 		return err
 	}
 	if p.Plan.Empty() {
-		a.say("Nothing left to change: revision %d has it already.", newest.Revision)
+		a.printLine("Nothing left to change: revision %d has it already.", newest.Revision)
 		return nil
 	}
-	a.tell("Other changes came between; put on top of revision %d:", newest.Revision)
+	a.printTableLine("Other changes came between; put on top of revision %d:", newest.Revision)
 	for _, line := range p.Plan.Lines() {
-		a.tell("%s", line)
+		a.printTableLine("%s", line)
 	}
 	return confirm(operator.ConfirmRequest{Intent: data, BaseRevision: p.Plan.BaseRevision, Digest: p.Plan.Digest})
 }
 
-// errMeets is returned if the plan and later revisions change the same objects.
-var errMeets = errors.New("the plan is stale")
+// errConflict is returned if the plan and later revisions change the same objects.
+var errConflict = errors.New("the plan is stale")
 
-// contentOf returns the configuration of a revision.
-func (a *app) contentOf(ctx context.Context, revision uint64) (*config.Document, error) {
+// documentAt returns the configuration of a revision.
+func (a *app) documentAt(ctx context.Context, revision uint64) (*config.Document, error) {
 	if revision == 0 {
 		return &config.Document{}, nil
 	}
@@ -91,7 +91,7 @@
 	return old.Intent.Document(), nil
 }
 
-func documentOf(text json.RawMessage) (*config.Document, error) {
+func parseDocument(text json.RawMessage) (*config.Document, error) {
 	in, err := intent.Parse(text)
 	if err != nil {
 		return nil, err
--- a/cmd/goldcrestctl/rebase_test.go
+++ b/cmd/goldcrestctl/rebase_test.go
@@ -17,43 +17,43 @@
 	"goldcrestport/state/config"
 )
 
-// lineRouter is a router with a given history of revisions; it accepts plans against the
+// historyRouter is a router with a given history of revisions; it accepts plans against the
 // last one only.
-type lineRouter struct {
+type historyRouter struct {
 	revisions []*config.Document
 	confirmed *operator.ConfirmRequest
 }
 
-func (r *lineRouter) newest() uint64 { return uint64(len(r.revisions)) }
+func (r *historyRouter) newest() uint64 { return uint64(len(r.revisions)) }
 
-func (r *lineRouter) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	var ask struct {
+func (r *historyRouter) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	var request struct {
 		operator.ConfirmRequest
 		Revision uint64 `json:"revision"`
 	}
-	_ = json.NewDecoder(req.Body).Decode(&ask)
-	var answer any
+	_ = json.NewDecoder(req.Body).Decode(&request)
+	var response any
 	last := r.revisions[r.newest()-1]
 	switch req.URL.Path {
 	case operator.PathRollbackPlan:
-		answer = operator.PlanResponse{Plan: &plan.Plan{}, Intent: intent.FromDocument(r.revisions[ask.Revision-1])}
+		response = operator.PlanResponse{Plan: &plan.Plan{}, Intent: intent.FromDocument(r.revisions[request.Revision-1])}
 	case operator.PathConfig:
-		answer = operator.ConfigResponse{Entry: operator.Entry{Revision: r.newest()}, Intent: intent.FromDocument(last)}
+		response = operator.ConfigResponse{Entry: operator.Entry{Revision: r.newest()}, Intent: intent.FromDocument(last)}
 	case operator.PathPlan:
-		in, _ := intent.Parse(ask.Intent)
+		in, _ := intent.Parse(request.Intent)
 		last.Revision = r.newest()
 		p, _ := plan.Compare(last, in.Document(), plan.Facts{})
-		answer = operator.PlanResponse{Plan: p, Intent: in}
+		response = operator.PlanResponse{Plan: p, Intent: in}
 	default:
-		if ask.BaseRevision != r.newest() {
+		if request.BaseRevision != r.newest() {
 			w.WriteHeader(http.StatusConflict)
-			answer = problem(http.StatusConflict, operator.ReasonStalePlan, outcome.NotRun)
+			response = problem(http.StatusConflict, operator.ReasonStalePlan, outcome.NotRun)
 			break
 		}
-		r.confirmed = &ask.ConfirmRequest
-		answer = operator.ConfirmResponse{Entry: operator.Entry{Revision: r.newest() + 1}}
+		r.confirmed = &request.ConfirmRequest
+		response = operator.ConfirmResponse{Entry: operator.Entry{Revision: r.newest() + 1}}
 	}
-	_ = json.NewEncoder(w).Encode(answer)
+	_ = json.NewEncoder(w).Encode(response)
 }
 
 // shares returns a document with the shares of two teams.
@@ -81,19 +81,19 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			r := &lineRouter{revisions: []*config.Document{shares(1, 1), test.newest}}
+			r := &historyRouter{revisions: []*config.Document{shares(1, 1), test.newest}}
 			if config.Equal(r.revisions[0], test.newest) {
 				r.revisions = r.revisions[:1]
 			}
 			srv := httptest.NewServer(r)
 			defer srv.Close()
-			kept := filepath.Join(t.TempDir(), "plan.json")
+			planFile := filepath.Join(t.TempDir(), "plan.json")
 			data, err := json.Marshal(operator.PlanResponse{
 				Plan: &plan.Plan{BaseRevision: 1, Digest: "d"}, Intent: intent.FromDocument(shares(5, 1)),
 			})
 			c.Assert(err, qt.IsNil)
-			c.Assert(os.WriteFile(kept, data, 0o600), qt.IsNil)
-			code, _, errs := ctl("--router", srv.URL, "confirm", kept, "--rebase")
+			c.Assert(os.WriteFile(planFile, data, 0o600), qt.IsNil)
+			code, _, errs := runCtl("--router", srv.URL, "confirm", planFile, "--rebase")
 			c.Assert(code, qt.Equals, test.code, qt.Commentf("%s", errs))
 			if test.want == nil {
 				c.Assert(r.confirmed, qt.IsNil)
--- a/cmd/goldcrestctl/root.go
+++ b/cmd/goldcrestctl/root.go
@@ -72,7 +72,7 @@
 		SilenceErrors: true,
 	}
 	f := cmd.PersistentFlags()
-	f.StringSliceVar(&a.routers, "router", list(os.Getenv(envRouters)), "operators' address of a router, IP:port; several are tried in turn (env "+envRouters+")")
+	f.StringSliceVar(&a.routers, "router", splitList(os.Getenv(envRouters)), "operators' address of a router, IP:port; several are tried in turn (env "+envRouters+")")
 	f.StringVar(&a.token, "token", "", "operator's bearer token; better given as env "+envToken)
 	f.StringVarP(&a.format, "output", "o", formatTable, "output format: table or json")
 	f.DurationVar(&a.timeout, "timeout", defaultTimeout, "bound of the call of one router")
@@ -91,7 +91,7 @@
 	return cmd
 }
 
-func list(text string) []string {
+func splitList(text string) []string {
 	if text == "" {
 		return nil
 	}
@@ -102,13 +102,13 @@
 	return operatorclient.New(a.routers, a.token, a.timeout)
 }
 
-// command returns a command whose errors are marked with errRun.
-func command(use, short string, args cobra.PositionalArgs, body func(ctx context.Context, args []string) error) *cobra.Command {
+// newCommand returns a command whose errors are marked with errCommand.
+func newCommand(use, short string, args cobra.PositionalArgs, body func(ctx context.Context, args []string) error) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: args,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := body(cmd.Context(), args); err != nil {
-				return errors.Mark(err, errRun)
+				return errors.Mark(err, errCommand)
 			}
 			return nil
 		},
@@ -122,17 +122,17 @@
 	return enc.Encode(v)
 }
 
-func (a *app) say(format string, args ...any) { fmt.Fprintf(a.out, format+"\n", args...) }
+func (a *app) printLine(format string, args ...any) { fmt.Fprintf(a.out, format+"\n", args...) }
 
-// tell prints a line that is not part of the JSON output.
-func (a *app) tell(format string, args ...any) {
+// printTableLine prints a line that is not part of the JSON output.
+func (a *app) printTableLine(format string, args ...any) {
 	if a.format == formatTable {
-		a.say(format, args...)
+		a.printLine(format, args...)
 	}
 }
 
 func (a *app) versionCommand() *cobra.Command {
-	return command("version", "Print the version", cobra.NoArgs, func(context.Context, []string) error {
+	return newCommand("version", "Print the version", cobra.NoArgs, func(context.Context, []string) error {
 		version := "unknown"
 		if info, ok := debug.ReadBuildInfo(); ok {
 			version = info.Main.Version
@@ -142,7 +142,7 @@
 				}
 			}
 		}
-		a.say("goldcrestctl %s", version)
+		a.printLine("goldcrestctl %s", version)
 		return nil
 	})
 }
--- a/cmd/goldcrestctl/status.go
+++ b/cmd/goldcrestctl/status.go
@@ -19,7 +19,7 @@
 const maxQueueRows = 20
 
 func (a *app) statusCommand() *cobra.Command {
-	return command("status", "Show routers, services, backend servers and queues of the fleet", cobra.NoArgs, func(ctx context.Context, _ []string) error {
+	return newCommand("status", "Show routers, services, backend servers and queues of the fleet", cobra.NoArgs, func(ctx context.Context, _ []string) error {
 		s, err := a.client().Status(ctx)
 		if err != nil {
 			return err
@@ -32,22 +32,22 @@
 }
 
 func (a *app) statusTables(s *operator.Status) error {
-	a.say("Revision %s in force at %s, %d teams\n", revision(s.Revision), s.Router, s.Teams)
+	a.printLine("Revision %s in force at %s, %d teams\n", revisionText(s.Revision), s.Router, s.Teams)
 	w := a.table("ROUTER", "DATA CENTRE", "STATE", "REVISION", "WAITING")
 	for _, r := range s.Routers {
 		if r.Answered {
-			row(w, r.ID, r.DataCentre, r.State, revision(r.Revision), strconv.Itoa(r.Waiting))
+			writeRow(w, r.ID, r.DataCentre, r.State, revisionText(r.Revision), strconv.Itoa(r.Waiting))
 		} else {
-			row(w, r.ID, r.DataCentre, r.State+", no answer", "?", "?")
+			writeRow(w, r.ID, r.DataCentre, r.State+", no answer", "?", "?")
 		}
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	a.say("")
+	a.printLine("")
 	w = a.table("SERVICE", "KIND", "BACKENDS READY", "SLOTS BUSY", "WAITING", "TEAMS WAITING")
 	for _, v := range s.Services {
-		row(w, v.Service, v.Kind, fmt.Sprintf("%d of %d", v.Ready, v.Linked), fmt.Sprintf("%d of %d", v.Slots-v.Free, v.Slots),
+		writeRow(w, v.Service, v.Kind, fmt.Sprintf("%d of %d", v.Ready, v.Linked), fmt.Sprintf("%d of %d", v.Slots-v.Free, v.Slots),
 			strconv.Itoa(v.Waiting), strconv.Itoa(v.WaitingTeams))
 	}
 	if err := w.Flush(); err != nil {
@@ -60,10 +60,10 @@
 }
 
 func (a *app) backendTable(backends []operator.Backend) error {
-	a.say("")
+	a.printLine("")
 	w := a.table("BACKEND SERVER", "SERVICE", "DATA CENTRE", "STATE", "SLOTS BUSY", "REVISION")
 	for _, b := range backends {
-		row(w, b.ID, b.Service, b.DataCentre, backendState(b), fmt.Sprintf("%d of %d", b.Slots-b.Free, b.Slots), revision(b.Revision))
+		writeRow(w, b.ID, b.Service, b.DataCentre, backendState(b), fmt.Sprintf("%d of %d", b.Slots-b.Free, b.Slots), revisionText(b.Revision))
 	}
 	return w.Flush()
 }
@@ -86,26 +86,26 @@
 // queueTable shows the queues, the longest waiting first.
 func (a *app) queueTable(queues []operator.Queue) error {
 	if len(queues) == 0 {
-		a.say("\nNothing is waiting.")
+		a.printLine("\nNothing is waiting.")
 		return nil
 	}
-	a.say("")
+	a.printLine("")
 	w := a.table("LONGEST WAITING TEAM", "SERVICE", "ROUTER", "REQUESTS", "OLDEST")
 	for _, q := range queues[:min(len(queues), maxQueueRows)] {
 		oldest := time.Duration(q.OldestMS) * time.Millisecond
-		row(w, q.Team, q.Service, q.Router, strconv.Itoa(q.Waiting), oldest.String())
+		writeRow(w, q.Team, q.Service, q.Router, strconv.Itoa(q.Waiting), oldest.String())
 	}
 	return w.Flush()
 }
 
-func revision(n uint64) string {
+func revisionText(n uint64) string {
 	if n == 0 {
 		return "none"
 	}
 	return strconv.FormatUint(n, 10)
 }
 
-func row(w *tabwriter.Writer, cells ...string) {
+func writeRow(w *tabwriter.Writer, cells ...string) {
 	fmt.Fprintln(w, strings.Join(cells, "\t"))
 }
 
--- a/cmd/goldcrestd/commands.go
+++ b/cmd/goldcrestd/commands.go
@@ -91,8 +91,8 @@
 }
 
 // stopSignal returns a channel that is closed at the first SIGTERM or SIGINT; the
-// second one calls again.
-func stopSignal(again func()) <-chan struct{} {
+// second one calls onSecond.
+func stopSignal(onSecond func()) <-chan struct{} {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	stop := make(chan struct{})
@@ -100,7 +100,7 @@
 		<-signals
 		close(stop)
 		<-signals
-		again()
+		onSecond()
 	}()
 	return stop
 }
--- a/cmd/goldcrestd/commands_test.go
+++ b/cmd/goldcrestd/commands_test.go
@@ -15,7 +15,7 @@
 	"goldcrestport/protocol/settings"
 )
 
-func run(args ...string) (string, error) {
+func runCommand(args ...string) (string, error) {
 	var out bytes.Buffer
 	cmd := root()
 	cmd.SetArgs(args)
@@ -29,13 +29,13 @@
 	c := quicktest.New(t)
 	for _, role := range []string{roleRouter, roleSidecar, roleDirect} {
 		file := "../../docs/examples/" + role + ".json"
-		out, err := run("validate", "--role", role, "-s", file)
+		out, err := runCommand("validate", "--role", role, "-s", file)
 		c.Check(err, quicktest.IsNil)
 		c.Check(out, quicktest.Equals, "settings "+file+": correct for a "+role+"\n")
 	}
-	_, err := run("validate", "--role", roleSidecar, "-s", "../../docs/examples/router.json")
+	_, err := runCommand("validate", "--role", roleSidecar, "-s", "../../docs/examples/router.json")
 	c.Check(err, quicktest.ErrorMatches, `settings .*: 6 to correct\n  backend: is required\n  limits: unknown key\n  listen.callers: unknown key\n  operators: unknown key\n  queues: unknown key\n  service: is required`)
-	_, err = run("validate", "--role", "gateway", "-s", "x")
+	_, err = runCommand("validate", "--role", "gateway", "-s", "x")
 	c.Check(err, quicktest.ErrorMatches, `role "gateway": want router, sidecar or direct`)
 }
 
@@ -44,7 +44,7 @@
 // checks, one per second). It must reject them before three seconds have passed, because a
 // stream accepted later than that must not be cut off at shutdown (LOST on plgc-port
 // trouble-2: a stream was accepted 3.002 s after the signal).
-func TestTheDeployedLingerLiesBetweenTheBounds(t *testing.T) {
+func TestDeployedLingerIsWithinBounds(t *testing.T) {
 	c := quicktest.New(t)
 	data, err := os.ReadFile("../../deploy/router.json.tmpl")
 	c.Assert(err, quicktest.IsNil)
@@ -57,7 +57,7 @@
 }
 
 // A process with invalid settings must exit before it binds any address.
-func TestBadSettingsBindNothing(t *testing.T) {
+func TestInvalidSettingsBindNoAddress(t *testing.T) {
 	c := quicktest.New(t)
 	data, err := os.ReadFile("../../docs/examples/router.json")
 	c.Assert(err, quicktest.IsNil)
@@ -68,7 +68,7 @@
 	text := strings.Replace(string(data), "10.20.0.11:8080", address, 1)
 	file := filepath.Join(c.TempDir(), "router.json")
 	c.Assert(os.WriteFile(file, []byte(strings.Replace(text, `"30s"`, `"30"`, 1)), 0o600), quicktest.IsNil)
-	_, err = run(roleRouter, "-s", file)
+	_, err = runCommand(roleRouter, "-s", file)
 	var problems *settings.Problems
 	c.Assert(err, quicktest.ErrorAs, &problems)
 	c.Check(problems.List[0].Path, quicktest.Equals, "limits.body_timeout")
--- a/cmd/goldcrestd/direct.go
+++ b/cmd/goldcrestd/direct.go
@@ -37,43 +37,43 @@
 	return cmd
 }
 
-// freshnessShare is the part of the key revocation bound that is allowed as staleness of
+// freshnessFraction is the part of the key revocation bound that is allowed as staleness of
 // the configuration; the rest is for the time that a request takes to its server.
-const freshnessShare = 0.94
+const freshnessFraction = 0.94
 
-// heapShare is the part of the process's memory that is the soft memory limit of the
+// heapFraction is the part of the process's memory that is the soft memory limit of the
 // garbage collector; the rest is for stacks, kernel buffers and overshoot of the limit.
-const heapShare = 0.7
+const heapFraction = 0.7
 
 func runDirect(file string) error {
 	set := settings.DefaultDirect()
 	if err := settings.Load(file, &set); err != nil {
 		return err
 	}
-	debug.SetMemoryLimit(int64(heapShare * float64(set.Memory.Bytes())))
+	debug.SetMemoryLimit(int64(heapFraction * float64(set.Memory.Bytes())))
 	debug.SetGCPercent(saturation.CalmGrowth)
-	lines := observe.NewWriter(os.Stdout)
-	logger := observe.NewLogger(lines, roleDirect, set.ID, set.Log)
+	logWriter := observe.NewWriter(os.Stdout)
+	logger := observe.NewLogger(logWriter, roleDirect, set.ID, set.Log)
 	observe.LogTraceErrors(logger)
 	tracer, err := observe.NewTracer(os.Stdout, roleDirect, set.ID, set.Trace)
 	if err != nil {
 		return err
 	}
 	source := platform.NewSource(platform.NewStore(set.Platform.URL))
-	hangUp := make(chan os.Signal, 1)
-	signal.Notify(hangUp, syscall.SIGHUP)
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
 	r := direct.New(set, directConfig(set), source, platform.Dialect{}, logger)
-	r.CountLost(lines.Dropped)
-	go reload(file, hangUp, r)
+	r.CountLost(logWriter.Dropped)
+	go reload(file, hangup, r)
 	r.SetTracer(tracer)
 	err = errors.CombineErrors(r.Serve(stopSignal(r.Abort)), tracer.Close())
-	lines.Flush(flushBound)
+	logWriter.Flush(flushTimeout)
 	return err
 }
 
-// flushBound bounds the flush of the last log lines at shutdown: a reader that keeps
+// flushTimeout bounds the flush of the last log lines at shutdown: a reader that keeps
 // up takes a few milliseconds, and a stalled one must not delay a planned stop.
-const flushBound = 100 * time.Millisecond
+const flushTimeout = 100 * time.Millisecond
 
 func directConfig(set settings.Direct) direct.Config {
 	return direct.Config{
@@ -87,7 +87,7 @@
 			Window: set.Repeats.Window.D(), Ratio: set.Repeats.Ratio,
 			Allowance: set.Repeats.Allowance, Use: repeats.DefaultUse,
 		},
-		Freshness: scale(set.KeyRevocation.D(), freshnessShare),
+		Freshness: scale(set.KeyRevocation.D(), freshnessFraction),
 	}
 }
 
@@ -98,15 +98,15 @@
 	return c
 }
 
-// silenceShare is the part of the bound on requests to departed servers for which a
+// silenceFraction is the part of the bound on requests to departed servers for which a
 // server that is known to be shutting down may be silent; the rest is for the news of its
 // shutdown to arrive.
-const silenceShare = 0.5
+const silenceFraction = 0.5
 
 // backendConfig bounds the requests in flight to servers that are shutting down.
 func backendConfig(set settings.Direct) backend.Config {
 	c := backend.DefaultConfig()
-	c.InFlight.Silence = scale(set.Departure.D(), silenceShare)
+	c.InFlight.Silence = scale(set.Departure.D(), silenceFraction)
 	return c
 }
 
@@ -117,34 +117,34 @@
 	return c
 }
 
-func scale(d time.Duration, by float64) time.Duration { return time.Duration(by * float64(d)) }
+func scale(d time.Duration, factor float64) time.Duration { return time.Duration(factor * float64(d)) }
 
-// reloadEvery is the interval at which the settings file is polled, as it may change
+// reloadInterval is the interval at which the settings file is polled, as it may change
 // without a signal.
-const reloadEvery = 2 * time.Second
+const reloadInterval = 2 * time.Second
 
 // reload applies changed settings, at a signal or when the file has changed. If the
 // new settings are invalid, the previous ones stay in effect.
-func reload(file string, hangUp <-chan os.Signal, r *direct.Router) {
-	before, _ := os.ReadFile(file)
+func reload(file string, hangup <-chan os.Signal, r *direct.Router) {
+	previous, _ := os.ReadFile(file)
 	for {
-		asked := false
+		signalled := false
 		select {
-		case <-hangUp:
-			asked = true
-		case <-time.After(reloadEvery):
+		case <-hangup:
+			signalled = true
+		case <-time.After(reloadInterval):
 		}
-		now, err := os.ReadFile(file)
-		if err != nil || (!asked && bytes.Equal(before, now)) {
+		current, err := os.ReadFile(file)
+		if err != nil || (!signalled && bytes.Equal(previous, current)) {
 			continue
 		}
-		before = now
+		previous = current
 		set := settings.DefaultDirect()
 		if err := settings.Load(file, &set); err != nil {
 			r.Rejected(err)
 			continue
 		}
-		debug.SetMemoryLimit(int64(heapShare * float64(set.Memory.Bytes())))
+		debug.SetMemoryLimit(int64(heapFraction * float64(set.Memory.Bytes())))
 		r.Reload(set, directConfig(set))
 	}
 }
--- a/cmd/goldcrestd/freeze_test.go
+++ b/cmd/goldcrestd/freeze_test.go
@@ -19,8 +19,8 @@
 	"goldcrestport/transport/link"
 )
 
-// start sends one attempt and returns the first message of the response.
-func start(t *testing.T, pool *link.Pool, addr, request, incarnation string) *wire.RunDown {
+// startAttempt sends one attempt and returns the first message of the response.
+func startAttempt(t *testing.T, pool *link.Pool, addr, request, incarnation string) *wire.RunDown {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	s, err := pool.Sidecar(ctx, addr).Run(ctx)
@@ -35,8 +35,8 @@
 	return down
 }
 
-// freeze stops the process with SIGSTOP and waits until all its threads have stopped.
-func freeze(c *qt.C, p *os.Process) {
+// freezeProcess stops the process with SIGSTOP and waits until all its threads have stopped.
+func freezeProcess(c *qt.C, p *os.Process) {
 	c.Assert(p.Signal(syscall.SIGSTOP), qt.IsNil)
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.Pid))
 	c.Assert(err, qt.IsNil)
@@ -51,7 +51,7 @@
 // Guards against a sidecar that acts on outdated state: it is frozen for longer than its
 // lease and another sidecar takes over its slot. When it continues, it must not run the
 // requests that reached it while it was frozen.
-func TestFrozenSidecarDoesNothingOnOldKnowledge(t *testing.T) {
+func TestFrozenSidecarDeclinesAfterLeaseExpiry(t *testing.T) {
 	c := qt.New(t)
 	var runs atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
@@ -62,24 +62,24 @@
 	p.waitOK("http://" + listen.Operators + "/readyz")
 	pool := link.NewPool(8, 8, time.Minute)
 	defer pool.Close()
-	head := start(t, pool, listen.Peers, "r1", "").GetHead()
+	head := startAttempt(t, pool, listen.Peers, "r1", "").GetHead()
 	c.Assert(head, qt.IsNotNil)
-	c.Assert(start(t, pool, listen.Peers, "r1b", "of another sidecar").GetDeclined(), qt.IsNotNil)
+	c.Assert(startAttempt(t, pool, listen.Peers, "r1b", "of another sidecar").GetDeclined(), qt.IsNotNil)
 	c.Assert(runs.Load(), qt.Equals, int64(1))
 
-	freeze(c, first)
+	freezeProcess(c, first)
 	answer := make(chan *wire.RunDown, 1)
-	go func() { answer <- start(t, pool, listen.Peers, "r2", head.Incarnation) }()
+	go func() { answer <- startAttempt(t, pool, listen.Peers, "r2", head.Incarnation) }()
 	_, other := p.sidecar("sidecar-1", 4, platform, backend.URL)
 	p.waitOK("http://" + other.Operators + "/readyz")
-	c.Assert(start(t, pool, other.Peers, "r3", "").GetHead(), qt.IsNotNil)
+	c.Assert(startAttempt(t, pool, other.Peers, "r3", "").GetHead(), qt.IsNotNil)
 	c.Assert(first.Signal(syscall.SIGCONT), qt.IsNil)
 
 	got := <-answer
 	c.Assert(got.GetDeclined(), qt.IsNotNil, qt.Commentf("%v", got))
-	c.Assert(start(t, pool, listen.Peers, "r4", head.Incarnation).GetDeclined(), qt.IsNotNil)
+	c.Assert(startAttempt(t, pool, listen.Peers, "r4", head.Incarnation).GetDeclined(), qt.IsNotNil)
 	time.Sleep(time.Second)
-	c.Assert(start(t, pool, listen.Peers, "r5", "").GetDeclined(), qt.IsNotNil)
-	c.Assert(start(t, pool, other.Peers, "r6", "").GetHead(), qt.IsNotNil)
+	c.Assert(startAttempt(t, pool, listen.Peers, "r5", "").GetDeclined(), qt.IsNotNil)
+	c.Assert(startAttempt(t, pool, other.Peers, "r6", "").GetHead(), qt.IsNotNil)
 	c.Assert(runs.Load(), qt.Equals, int64(3))
 }
--- a/cmd/goldcrestd/killed_test.go
+++ b/cmd/goldcrestd/killed_test.go
@@ -14,18 +14,18 @@
 // Guards against a truncated response that looks complete: a router with sidecars is killed in
 // the middle of a response, and an HTTP/1.0 caller, which gets no chunked encoding, takes the end
 // of its connection for the end of the response.
-func TestAKilledRouterWithSidecarsLeavesNoAnswerThatLooksWhole(t *testing.T) {
+func TestKilledRouterLeavesTruncatedResponseDetectable(t *testing.T) {
 	c := qt.New(t)
-	f := newRolling(t)
+	f := newFleet(t)
 	router := f.members[len(f.members)-1]
-	id := slowCaller + "killed"
+	id := slowPrefix + "killed"
 	conn, err := net.Dial("tcp", strings.TrimPrefix(router.callers, "http://"))
 	c.Assert(err, qt.IsNil)
 	defer conn.Close()
-	_, err = fmt.Fprintf(conn, "POST /services/ledger-app/pledges HTTP/1.0\r\nHost: h\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", rollingToken, len(id), id)
+	_, err = fmt.Fprintf(conn, "POST /services/ledger-app/pledges HTTP/1.0\r\nHost: h\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", fleetToken, len(id), id)
 	c.Assert(err, qt.IsNil)
 	var got strings.Builder
-	c.Assert(conn.SetReadDeadline(time.Now().Add(slowRun)), qt.IsNil)
+	c.Assert(conn.SetReadDeadline(time.Now().Add(slowDuration)), qt.IsNil)
 	for !strings.HasSuffix(got.String(), id) {
 		_, err := io.CopyN(&got, conn, 1)
 		c.Assert(err, qt.IsNil, qt.Commentf("%q", got.String()))
--- a/cmd/goldcrestd/processes_test.go
+++ b/cmd/goldcrestd/processes_test.go
@@ -71,9 +71,9 @@
 
 // platform starts a stand-in of the platform with the configuration and returns its URL.
 func (p *processes) platform(host int, doc string) string {
-	at := p.address(host)
-	p.start("standin", "platform", "--listen", at, "--list-lag", "200ms")
-	url := "http://" + at
+	address := p.address(host)
+	p.start("standin", "platform", "--listen", address, "--list-lag", "200ms")
+	url := "http://" + address
 	p.waitOK(url + "/admin/counters")
 	p.put(url+"/v1/kv/goldcrest/config?version=0", doc)
 	return url
--- a/cmd/goldcrestd/rolling_test.go
+++ b/cmd/goldcrestd/rolling_test.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	rollingToken = "rolling-token"
-	// slowCaller is the prefix of the ids of pledges that run for slowRun,
+	fleetToken = "rolling-token"
+	// slowPrefix is the prefix of the ids of pledges that run for slowDuration,
 	// longer than a stopping process without requests in flight stays up.
-	slowCaller = "slow-pledge-"
-	slowRun    = 3 * time.Second
+	slowPrefix   = "slow-pledge-"
+	slowDuration = 3 * time.Second
 )
 
 // member is a process of the fleet that can be restarted.
@@ -39,21 +39,21 @@
 	up atomic.Bool
 }
 
-// rolling is a fleet of two routers and two sidecars in front of one backend
+// fleet consists of two routers and two sidecars in front of one backend
 // server that counts the runs of each call.
-type rolling struct {
+type fleet struct {
 	p       *processes
 	members []*member
 	mu      sync.Mutex
 	runs    map[string]int
 }
 
-func newRolling(t *testing.T) *rolling {
-	f := &rolling{p: newProcesses(t), runs: map[string]int{}}
+func newFleet(t *testing.T) *fleet {
+	f := &fleet{p: newProcesses(t), runs: map[string]int{}}
 	backend := httptest.NewServer(http.HandlerFunc(f.serve))
 	t.Cleanup(backend.Close)
 	doc := fmt.Sprintf(`{"revision":1,"teams":{"legacy":{"share":1,"tokens":[%q],"services":["ledger-app"]}},`+
-		`"services":{"ledger-app":{"kind":"plain","non_idempotent":["/pledges"]}}}`, config.TokenDigest(rollingToken))
+		`"services":{"ledger-app":{"kind":"plain","non_idempotent":["/pledges"]}}}`, config.TokenDigest(fleetToken))
 	platform := f.p.platform(20, doc)
 	for i := range 2 {
 		f.addSidecar(platform, fmt.Sprint("sidecar-", i), 30+10*i, backend.URL)
@@ -66,22 +66,22 @@
 
 // serve handles requests as the backend server: it sends the request body twice, with a
 // delay in between.
-func (f *rolling) serve(w http.ResponseWriter, r *http.Request) {
+func (f *fleet) serve(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	f.mu.Lock()
 	f.runs[string(body)]++
 	f.mu.Unlock()
 	_, _ = w.Write(body)
 	_ = http.NewResponseController(w).Flush()
-	took := 30 * time.Millisecond
-	if strings.HasPrefix(string(body), slowCaller) {
-		took = slowRun
+	duration := 30 * time.Millisecond
+	if strings.HasPrefix(string(body), slowPrefix) {
+		duration = slowDuration
 	}
-	time.Sleep(took)
+	time.Sleep(duration)
 	_, _ = w.Write(body)
 }
 
-func (f *rolling) addSidecar(platform, id string, host int, backend string) {
+func (f *fleet) addSidecar(platform, id string, host int, backend string) {
 	set := settings.DefaultSidecar()
 	set.ID, set.Service, set.DataCentre = id, "ledger-app", "hall-pamp"
 	set.Listen = settings.SidecarListen{Peers: f.p.address(host), Operators: f.p.address(host + 1)}
@@ -91,7 +91,7 @@
 	f.add(&member{file: f.p.settings(id, set), role: "sidecar", ready: "http://" + set.Listen.Operators + "/readyz"})
 }
 
-func (f *rolling) addRouter(platform, id string, host int) {
+func (f *fleet) addRouter(platform, id string, host int) {
 	set := settings.DefaultRouter()
 	set.ID, set.DataCentre = id, "hall-pamp"
 	set.Listen = settings.RouterListen{
@@ -107,18 +107,18 @@
 	})
 }
 
-func (f *rolling) add(m *member) {
+func (f *fleet) add(m *member) {
 	f.startMember(m)
 	f.members = append(f.members, m)
 }
 
-func (f *rolling) startMember(m *member) {
+func (f *fleet) startMember(m *member) {
 	m.process = f.p.start("goldcrestd", m.role, "--settings", m.file)
 	f.p.waitOK(m.ready)
 }
 
 // restart stops a member gracefully and starts it again.
-func (f *rolling) restart(m *member) {
+func (f *fleet) restart(m *member) {
 	qt.Assert(f.p.t, m.process.Signal(syscall.SIGTERM), qt.IsNil)
 	state, err := m.process.Wait()
 	qt.Assert(f.p.t, err, qt.IsNil)
@@ -126,8 +126,8 @@
 	f.startMember(m)
 }
 
-// balance polls the readiness of the routers as a load balancer does.
-func (f *rolling) balance(ctx context.Context) {
+// pollReadiness polls the readiness of the routers as a load balancer does.
+func (f *fleet) pollReadiness(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, m := range f.members {
 			if m.callers == "" {
@@ -145,7 +145,7 @@
 
 // call sends one pledge through a router that is up and returns an error unless the
 // response is complete.
-func (f *rolling) call(id string, n int) error {
+func (f *fleet) call(id string, n int) error {
 	var up []*member
 	for _, m := range f.members {
 		if m.up.Load() {
@@ -159,7 +159,7 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set("Authorization", "Bearer "+rollingToken)
+	req.Header.Set("Authorization", "Bearer "+fleetToken)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return err
@@ -179,15 +179,15 @@
 // to its first call, and runs exactly once.
 func TestRollingRestartLosesNothing(t *testing.T) {
 	c := qt.New(t)
-	f := newRolling(t)
+	f := newFleet(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go f.balance(ctx)
+	go f.pollReadiness(ctx)
 	time.Sleep(2 * time.Second)
 
 	const callers = 8
 	var wg sync.WaitGroup
-	var calls, bad atomic.Int64
+	var calls, failed atomic.Int64
 	stop := make(chan struct{})
 	for k := range callers {
 		wg.Go(func() {
@@ -200,10 +200,10 @@
 				calls.Add(1)
 				id := fmt.Sprintf("pledge-%d-%d", k, n)
 				if k%2 == 0 {
-					id = fmt.Sprintf("%s%d-%d", slowCaller, k, n)
+					id = fmt.Sprintf("%s%d-%d", slowPrefix, k, n)
 				}
 				if err := f.call(id, n+k/2); err != nil {
-					bad.Add(1)
+					failed.Add(1)
 					t.Logf("caller %d, call %d: %v", k, n, err)
 				}
 			}
@@ -216,7 +216,7 @@
 	close(stop)
 	wg.Wait()
 	c.Logf("%d calls over %d restarts", calls.Load(), len(f.members))
-	c.Assert(bad.Load(), qt.Equals, int64(0))
+	c.Assert(failed.Load(), qt.Equals, int64(0))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c.Assert(int64(len(f.runs)), qt.Equals, calls.Load())
--- a/cmd/goldcrestd/template_test.go
+++ b/cmd/goldcrestd/template_test.go
@@ -17,8 +17,8 @@
 	"goldcrestport/protocol/settings"
 )
 
-// fields returns example values from which the users' platform fills the template.
-func fields() map[string]any {
+// exampleFields returns example values from which the users' platform fills the template.
+func exampleFields() map[string]any {
 	return map[string]any{
 		"nodeName": "edge-hall-pamp-1", "zone": "hall-pamp", "ip": "10.1.0.33",
 		"internalPorts": []any{7400, 7415}, "seeds": []any{"10.1.0.33:8785", "10.2.0.18:8785"},
@@ -33,9 +33,9 @@
 	}
 }
 
-// with returns the fields with one value of a table replaced, or removed if it is nil.
-func with(table, field string, value any) map[string]any {
-	all := fields()
+// withValue returns the fields with one value of a table replaced, or removed if it is nil.
+func withValue(table, field string, value any) map[string]any {
+	all := exampleFields()
 	inner := maps.Clone(all[table].(map[string]any))
 	inner[field] = value
 	if value == nil {
@@ -45,9 +45,9 @@
 	return all
 }
 
-// without returns the fields without a table.
-func without(table string) map[string]any {
-	all := fields()
+// withoutTable returns the fields without a table.
+func withoutTable(table string) map[string]any {
+	all := exampleFields()
 	delete(all, table)
 	return all
 }
@@ -61,33 +61,33 @@
 // each entry of a list or once for a present value, inverted sections if the value is
 // absent, and values as text or as JSON. Nested sections of the same name are not
 // supported.
-func render(c *quicktest.C, template string, all map[string]any) string {
+func render(c *quicktest.C, template string, data map[string]any) string {
 	for {
-		at := section.FindStringSubmatchIndex(template)
-		if at == nil {
+		match := section.FindStringSubmatchIndex(template)
+		if match == nil {
 			break
 		}
-		part := func(n int) string { return template[at[2*n]:at[2*n+1]] }
+		part := func(n int) string { return template[match[2*n]:match[2*n+1]] }
 		c.Assert(part(2), quicktest.Equals, part(4))
-		template = template[:at[0]] + renderSection(part(1), lookup(all, part(2)), part(3)) + template[at[1]:]
+		template = template[:match[0]] + renderSection(part(1), lookup(data, part(2)), part(3)) + template[match[1]:]
 	}
 	return placeholder.ReplaceAllStringFunc(template, func(text string) string {
 		m := placeholder.FindStringSubmatch(text)
-		return valueText(lookup(all, m[1]), m[2] != "")
+		return valueText(lookup(data, m[1]), m[2] != "")
 	})
 }
 
-func renderSection(mark string, value any, body string) string {
-	there := value != nil && value != false
+func renderSection(kind string, value any, body string) string {
+	present := value != nil && value != false
 	list, isList := value.([]any)
-	if mark == "^" {
-		if there {
+	if kind == "^" {
+		if present {
 			return ""
 		}
 		return body
 	}
 	if !isList {
-		if there {
+		if present {
 			return body
 		}
 		return ""
@@ -103,23 +103,23 @@
 	return out.String()
 }
 
-func lookup(all map[string]any, path string) any {
-	var at any = all
+func lookup(data map[string]any, path string) any {
+	var value any = data
 	for _, key := range strings.Split(path, ".") {
-		switch v := at.(type) {
+		switch v := value.(type) {
 		case map[string]any:
-			at = v[key]
+			value = v[key]
 		case []any:
 			n, err := strconv.Atoi(key)
 			if err != nil || n >= len(v) {
 				return nil
 			}
-			at = v[n]
+			value = v[n]
 		default:
 			return nil
 		}
 	}
-	return at
+	return value
 }
 
 func valueText(value any, asJSON bool) string {
@@ -137,20 +137,20 @@
 	}
 }
 
-// deployed loads the settings that result from the deployed template with the fields.
-func deployed(c *quicktest.C, all map[string]any) (settings.Direct, error) {
+// loadDeployed loads the settings that result from the deployed template with the fields.
+func loadDeployed(c *quicktest.C, data map[string]any) (settings.Direct, error) {
 	template, err := os.ReadFile("../../deploy/router.json.tmpl")
 	c.Assert(err, quicktest.IsNil)
 	file := filepath.Join(c.TempDir(), "router.json")
-	c.Assert(os.WriteFile(file, []byte(render(c, string(template), all)), 0o600), quicktest.IsNil)
+	c.Assert(os.WriteFile(file, []byte(render(c, string(template), data)), 0o600), quicktest.IsNil)
 	set := settings.DefaultDirect()
 	err = settings.Load(file, &set)
 	return set, err
 }
 
-func TestTheDeployedTemplateTellsWhatItIsGiven(t *testing.T) {
+func TestDeployedTemplateSettings(t *testing.T) {
 	c := quicktest.New(t)
-	set, err := deployed(c, fields())
+	set, err := loadDeployed(c, exampleFields())
 	c.Assert(err, quicktest.IsNil)
 	c.Check(set.ID, quicktest.Equals, "edge-hall-pamp-1")
 	c.Check(set.DataCentre, quicktest.Equals, "hall-pamp")
@@ -169,7 +169,7 @@
 // Bounds are integers, fractions or booleans, and any may be missing: a router must start
 // with every value that it can run with. A bound that was not an integer once made every
 // router of a fleet exit at its start.
-func TestTheDeployedTemplateTakesEveryBound(t *testing.T) {
+func TestDeployedTemplateAcceptsBounds(t *testing.T) {
 	for _, field := range []string{"revokeMs", "retryRatio", "retryWindowS", "retrySlack", "eventDelayMs", "graceS", "coldOverrun", "coldSlack"} {
 		for _, value := range []any{nil, 0.5, 1.5, 12.25, 100000, 1000000.5} {
 			if field == "revokeMs" && (value == 0.5 || value == 1.5) {
@@ -178,7 +178,7 @@
 			}
 			t.Run(fmt.Sprintf("%s %v", field, value), func(t *testing.T) {
 				c := quicktest.New(t)
-				set, err := deployed(c, with("bounds", field, value))
+				set, err := loadDeployed(c, withValue("bounds", field, value))
 				c.Assert(err, quicktest.IsNil)
 				c.Check(set.Linger() <= set.Stop.Bound.D()/2, quicktest.IsTrue)
 			})
@@ -186,22 +186,22 @@
 	}
 	for _, field := range []string{"retryRatio", "retrySlack", "eventDelayMs", "coldOverrun", "coldSlack"} {
 		c := quicktest.New(t)
-		_, err := deployed(c, with("bounds", field, 0))
+		_, err := loadDeployed(c, withValue("bounds", field, 0))
 		c.Check(err, quicktest.IsNil, quicktest.Commentf("%s 0", field))
 	}
 	for _, all := range []map[string]any{
-		with("limits", "memoryMb", nil), with("limits", "memoryMb", 184.5), with("limits", "memoryMb", 1048576), with("listen", "control", nil),
-		without("zones"),
+		withValue("limits", "memoryMb", nil), withValue("limits", "memoryMb", 184.5), withValue("limits", "memoryMb", 1048576), withValue("listen", "control", nil),
+		withoutTable("zones"),
 	} {
 		c := quicktest.New(t)
-		_, err := deployed(c, all)
+		_, err := loadDeployed(c, all)
 		c.Check(err, quicktest.IsNil)
 	}
 	for _, seeds := range [][]any{nil, {}, {"10.1.0.33:8785"}} {
 		c := quicktest.New(t)
-		all := fields()
+		all := exampleFields()
 		all["seeds"] = seeds
-		set, err := deployed(c, all)
+		set, err := loadDeployed(c, all)
 		c.Check(err, quicktest.IsNil)
 		c.Check(set.Seeds, quicktest.HasLen, len(seeds))
 	}
@@ -209,7 +209,7 @@
 
 // Settings that a router cannot run with are reported in one line with the setting, its
 // value and the range.
-func TestTheDeployedTemplateRefusesInOneLine(t *testing.T) {
+func TestDeployedTemplateRejectsInvalidBounds(t *testing.T) {
 	for _, tc := range []struct {
 		field string
 		value any
@@ -224,7 +224,7 @@
 		{"retrySlack", "many", `repeats.allowance: .*number.*`},
 	} {
 		c := quicktest.New(t)
-		_, err := deployed(c, with("bounds", tc.field, tc.value))
+		_, err := loadDeployed(c, withValue("bounds", tc.field, tc.value))
 		problems, ok := err.(*settings.Problems)
 		c.Assert(ok, quicktest.IsTrue, quicktest.Commentf("%s: %v", tc.field, err))
 		c.Check(problems.List, quicktest.HasLen, 1)
--- a/cmd/goldcrestd/validate.go
+++ b/cmd/goldcrestd/validate.go
@@ -23,7 +23,7 @@
 		Short: "Check a settings file without starting",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			into, err := settingsOf(role)
+			into, err := defaultSettings(role)
 			if err != nil {
 				return err
 			}
@@ -40,8 +40,8 @@
 	return cmd
 }
 
-// settingsOf returns the default settings of a role.
-func settingsOf(role string) (settings.Settings, error) {
+// defaultSettings returns the default settings of a role.
+func defaultSettings(role string) (settings.Settings, error) {
 	switch role {
 	case roleRouter:
 		set := settings.DefaultRouter()
--- a/layers_test.go
+++ b/layers_test.go
@@ -16,49 +16,49 @@
 
 const module = "goldcrestport/"
 
-// order lists the layers from the top down. A layer may import itself and those
+// layerOrder lists the layers from the top down. A layer may import itself and those
 // after it.
-var order = []string{"cmd", "platform", "transport", "protocol", "coordination", "state"}
+var layerOrder = []string{"cmd", "platform", "transport", "protocol", "coordination", "state"}
 
-// pure lists the layers without I/O, clock or goroutines.
-var pure = []string{"coordination", "state"}
+// pureLayers lists the layers without I/O, clock or goroutines.
+var pureLayers = []string{"coordination", "state"}
 
-// impure lists standard packages that the pure layers must not import, with
+// impurePackages lists standard packages that the pure layers must not import, with
 // everything below them.
-var impure = []string{"net", "os", "io", "log", "syscall", "sync", "context", "math/rand", "crypto/rand", "expvar", "runtime"}
+var impurePackages = []string{"net", "os", "io", "log", "syscall", "sync", "context", "math/rand", "crypto/rand", "expvar", "runtime"}
 
-// clockCalls are the functions of package time that read or wait on a clock.
-var clockCalls = []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "Tick", "NewTicker", "NewTimer"}
+// clockFuncs are the functions of package time that read or wait on a clock.
+var clockFuncs = []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "Tick", "NewTicker", "NewTimer"}
 
-// below reports whether path is pkg or lies below it.
-func below(path, pkg string) bool { return path == pkg || strings.HasPrefix(path, pkg+"/") }
+// isBelow reports whether path is pkg or lies below it.
+func isBelow(path, pkg string) bool { return path == pkg || strings.HasPrefix(path, pkg+"/") }
 
-// fault returns why a file of the layer must not import the path, or "" if it
+// importError returns why a file of the layer must not import the path, or "" if it
 // may.
-func fault(layer, path string) string {
-	if below(path, "net/http/httputil") {
+func importError(layer, path string) string {
+	if isBelow(path, "net/http/httputil") {
 		return "the proxy of the standard library must not be used"
 	}
-	if slices.Contains(pure, layer) {
-		for _, p := range impure {
-			if below(path, p) && path != "math/rand/v2" {
+	if slices.Contains(pureLayers, layer) {
+		for _, p := range impurePackages {
+			if isBelow(path, p) && path != "math/rand/v2" {
 				return "a pure layer must not use I/O, clocks or concurrency"
 			}
 		}
 	}
-	inside, found := strings.CutPrefix(path, module)
+	relative, found := strings.CutPrefix(path, module)
 	if !found {
 		return ""
 	}
-	target, _, _ := strings.Cut(inside, "/")
-	from, to := slices.Index(order, layer), slices.Index(order, target)
+	target, _, _ := strings.Cut(relative, "/")
+	from, to := slices.Index(layerOrder, layer), slices.Index(layerOrder, target)
 	if to < 0 || from >= 0 && to < from {
 		return "imports of a higher layer are not allowed"
 	}
 	return ""
 }
 
-func TestFaultsAreFound(t *testing.T) {
+func TestImportErrors(t *testing.T) {
 	for _, tc := range []struct {
 		layer, path string
 		bad         bool
@@ -74,13 +74,13 @@
 		{"transport", "net/http/httputil", true},
 		{"transport", "net/http", false},
 	} {
-		quicktest.Check(t, fault(tc.layer, tc.path) != "", quicktest.Equals, tc.bad, quicktest.Commentf("%v", tc))
+		quicktest.Check(t, importError(tc.layer, tc.path) != "", quicktest.Equals, tc.bad, quicktest.Commentf("%v", tc))
 	}
 }
 
 func TestImportDirection(t *testing.T) {
 	files := 0
-	for _, layer := range order {
+	for _, layer := range layerOrder {
 		err := filepath.WalkDir(layer, func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || filepath.Ext(path) != ".go" {
 				return err
@@ -91,7 +91,7 @@
 		})
 		quicktest.Assert(t, err, quicktest.IsNil)
 	}
-	quicktest.Check(t, files > len(order), quicktest.IsTrue)
+	quicktest.Check(t, files > len(layerOrder), quicktest.IsTrue)
 }
 
 func checkFile(t *testing.T, layer, path string) {
@@ -103,11 +103,11 @@
 	for _, spec := range file.Imports {
 		name, err := strconv.Unquote(spec.Path.Value)
 		quicktest.Assert(t, err, quicktest.IsNil)
-		if text := fault(layer, name); text != "" {
+		if text := importError(layer, name); text != "" {
 			t.Errorf("%s imports %s: %s", path, name, text)
 		}
 	}
-	if slices.Contains(pure, layer) {
+	if slices.Contains(pureLayers, layer) {
 		checkClock(t, path, file)
 	}
 }
--- a/platform_test.go
+++ b/platform_test.go
@@ -19,9 +19,9 @@
 	"Attempt-Id", "Replica-Stamp", "Not-Executed", "Prompt-Prefix", "Expect-Replica", "Deadline-Ms", "Replica-Load", "Token-Count", "GOLDCRESTPORT_BOOT",
 }
 
-// TestOnlyTheAdapterKnowsThePlatform checks that the platform's names are used in the
+// TestOnlyAdapterUsesPlatformNames checks that the platform's names are used in the
 // adapter only, and that only main packages import the adapter.
-func TestOnlyTheAdapterKnowsThePlatform(t *testing.T) {
+func TestOnlyAdapterUsesPlatformNames(t *testing.T) {
 	for _, layer := range []string{"cmd", "transport", "protocol", "coordination", "state"} {
 		err := filepath.WalkDir(layer, func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || filepath.Ext(path) != ".go" {
--- a/vars_test.go
+++ b/vars_test.go
@@ -12,14 +12,14 @@
 	"github.com/frankban/quicktest"
 )
 
-// publishers are the functions of package expvar that register a name in the
+// registerFuncs are the functions of package expvar that register a name in the
 // global registry of the program.
-var publishers = []string{"NewInt", "NewFloat", "NewString", "NewMap", "Publish"}
+var registerFuncs = []string{"NewInt", "NewFloat", "NewString", "NewMap", "Publish"}
 
-// TestMetricsBelongToAProcess checks that no metric is global: all routers or
+// TestNoGlobalMetrics checks that no metric is global: all routers or
 // sidecars in one program would share it.
-func TestMetricsBelongToAProcess(t *testing.T) {
-	for _, layer := range order {
+func TestNoGlobalMetrics(t *testing.T) {
+	for _, layer := range layerOrder {
 		err := filepath.WalkDir(layer, func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || filepath.Ext(path) != ".go" {
 				return err
@@ -38,7 +38,7 @@
 	ast.Inspect(file, func(n ast.Node) bool {
 		if sel, ok := n.(*ast.SelectorExpr); ok {
 			pkg, ok := sel.X.(*ast.Ident)
-			if ok && pkg.Name == "expvar" && slices.Contains(publishers, sel.Sel.Name) {
+			if ok && pkg.Name == "expvar" && slices.Contains(registerFuncs, sel.Sel.Name) {
 				t.Errorf("%s calls expvar.%s", path, sel.Sel.Name)
 			}
 		}
