--- a/cmd/goldcrestd/direct.go
+++ b/cmd/goldcrestd/direct.go
@@ -99,8 +99,8 @@
 }
 
 // silenceFraction is the part of the bound on requests to departed servers for which a
-// server that is known to be shutting down may be silent; the rest is for the news of its
-// shutdown to arrive.
+// server that is known to be shutting down may be silent; the rest is for its shutdown
+// announcement to arrive.
 const silenceFraction = 0.5
 
 // backendConfig bounds the requests in flight to servers that are shutting down.
