--- a/cmd/goldcrestd/commands.go
+++ b/cmd/goldcrestd/commands.go
@@ -84,15 +84,15 @@
 	return errors.CombineErrors(s.Serve(stopSignal(s.Abort)), tracer.Close())
 }
 
-// settingsFlag adds the required flag that names the settings file.
+// settingsFlag adds the required flag for the path of the settings file.
 func settingsFlag(cmd *cobra.Command, file *string) {
 	cmd.Flags().StringVarP(file, "settings", "s", "", "settings file (JSON)")
 	_ = cmd.MarkFlagRequired("settings")
 }
 
-// stopSignal is closed by the first SIGTERM or SIGINT; the second one calls
-// again.
-func stopSignal(again func()) <-chan struct{} {
+// stopSignal returns a channel that is closed at the first SIGTERM or SIGINT; the
+// second one calls onSecond.
+func stopSignal(onSecond func()) <-chan struct{} {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	stop := make(chan struct{})
@@ -100,7 +100,7 @@
 		<-signals
 		close(stop)
 		<-signals
-		again()
+		onSecond()
 	}()
 	return stop
 }
--- a/cmd/goldcrestd/direct.go
+++ b/cmd/goldcrestd/direct.go
@@ -37,44 +37,43 @@
 	return cmd
 }
 
-// freshnessShare of the time in which a key must stop working is the greatest
-// age of the configuration; the rest is the way of a request to its server.
-const freshnessShare = 0.94
+// freshnessFraction is the part of the key revocation bound that is allowed as staleness of
+// the configuration; the rest is for the time that a request takes to its server.
+const freshnessFraction = 0.94
 
-// heapShare of the process's memory is the collector's soft limit; the rest is
-// for stacks, buffers of the kernel and what the limit overshoots.
-const heapShare = 0.7
+// heapFraction is the part of the process's memory that is the soft memory limit of the
+// garbage collector; the rest is for stacks, kernel buffers and overshoot of the limit.
+const heapFraction = 0.7
 
 func runDirect(file string) error {
 	set := settings.DefaultDirect()
 	if err := settings.Load(file, &set); err != nil {
 		return err
 	}
-	debug.SetMemoryLimit(int64(heapShare * float64(set.Memory.Bytes())))
+	debug.SetMemoryLimit(int64(heapFraction * float64(set.Memory.Bytes())))
 	debug.SetGCPercent(saturation.CalmGrowth)
-	lines := observe.NewWriter(os.Stdout)
-	logger := observe.NewLogger(lines, roleDirect, set.ID, set.Log)
+	logWriter := observe.NewWriter(os.Stdout)
+	logger := observe.NewLogger(logWriter, roleDirect, set.ID, set.Log)
 	observe.LogTraceErrors(logger)
 	tracer, err := observe.NewTracer(os.Stdout, roleDirect, set.ID, set.Trace)
 	if err != nil {
 		return err
 	}
 	source := platform.NewSource(platform.NewStore(set.Platform.URL))
-	hangUp := make(chan os.Signal, 1)
-	signal.Notify(hangUp, syscall.SIGHUP)
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
 	r := direct.New(set, directConfig(set), source, platform.Dialect{}, logger)
-	r.CountLost(lines.Dropped)
-	go reload(file, hangUp, r)
+	r.CountLost(logWriter.Dropped)
+	go reload(file, hangup, r)
 	r.SetTracer(tracer)
 	err = errors.CombineErrors(r.Serve(stopSignal(r.Abort)), tracer.Close())
-	lines.Flush(flushBound)
+	logWriter.Flush(flushTimeout)
 	return err
 }
 
-// flushBound is how long the last lines of the log may take at the end: a
-// reader that keeps up takes some milliseconds, and one that stalls must not
-// hold up a planned stop.
-const flushBound = 100 * time.Millisecond
+// flushTimeout bounds the flush of the last log lines at shutdown: a reader that keeps
+// up takes a few milliseconds, and a stalled one must not delay a planned stop.
+const flushTimeout = 100 * time.Millisecond
 
 func directConfig(set settings.Direct) direct.Config {
 	return direct.Config{
@@ -88,63 +87,64 @@
 			Window: set.Repeats.Window.D(), Ratio: set.Repeats.Ratio,
 			Allowance: set.Repeats.Allowance, Use: repeats.DefaultUse,
 		},
-		Freshness: scale(set.KeyRevocation.D(), freshnessShare),
+		Freshness: scale(set.KeyRevocation.D(), freshnessFraction),
 	}
 }
 
-// stalenessConfig bounds what may rest on old knowledge of who leaves.
+// stalenessConfig returns the bound on the staleness of server departures.
 func stalenessConfig(set settings.Direct) staleness.Config {
 	c := staleness.DefaultConfig()
 	c.Bound = set.Departure.D()
 	return c
 }
 
-// silenceShare of the bound on requests to servers that left is how long a server that is
-// known to leave may be silent; the rest is for hearing of it.
-const silenceShare = 0.5
+// silenceFraction is the part of the bound on requests to departed servers for which a
+// server that is known to be shutting down may be silent; the rest is for its shutdown
+// announcement to arrive.
+const silenceFraction = 0.5
 
-// backendConfig bounds what is on its way to servers that leave.
+// backendConfig bounds the requests in flight to servers that are shutting down.
 func backendConfig(set settings.Direct) backend.Config {
 	c := backend.DefaultConfig()
-	c.InFlight.Silence = scale(set.Departure.D(), silenceShare)
+	c.InFlight.Silence = scale(set.Departure.D(), silenceFraction)
 	return c
 }
 
-// warmupConfig bounds cold servers as the settings say.
+// warmupConfig returns the limits for cold servers from the settings.
 func warmupConfig(set settings.Direct) warmup.Config {
 	c := warmup.DefaultConfig()
 	c.Overrun, c.Slack = set.ColdServers.Overrun, set.ColdServers.Slack
 	return c
 }
 
-func scale(d time.Duration, by float64) time.Duration { return time.Duration(by * float64(d)) }
+func scale(d time.Duration, factor float64) time.Duration { return time.Duration(factor * float64(d)) }
 
-// reloadEvery is the time between looks at the settings file, which may change
+// reloadInterval is the interval at which the settings file is polled, as it may change
 // without a signal.
-const reloadEvery = 2 * time.Second
+const reloadInterval = 2 * time.Second
 
-// reload puts changed settings in force, at a signal or when the file differs.
-// Settings that are wrong leave those before in force.
-func reload(file string, hangUp <-chan os.Signal, r *direct.Router) {
-	before, _ := os.ReadFile(file)
+// reload applies changed settings, at a signal or when the file has changed. If the
+// new settings are invalid, the previous ones stay in effect.
+func reload(file string, hangup <-chan os.Signal, r *direct.Router) {
+	previous, _ := os.ReadFile(file)
 	for {
-		asked := false
+		signalled := false
 		select {
-		case <-hangUp:
-			asked = true
-		case <-time.After(reloadEvery):
+		case <-hangup:
+			signalled = true
+		case <-time.After(reloadInterval):
 		}
-		now, err := os.ReadFile(file)
-		if err != nil || (!asked && bytes.Equal(before, now)) {
+		current, err := os.ReadFile(file)
+		if err != nil || (!signalled && bytes.Equal(previous, current)) {
 			continue
 		}
-		before = now
+		previous = current
 		set := settings.DefaultDirect()
 		if err := settings.Load(file, &set); err != nil {
 			r.Rejected(err)
 			continue
 		}
-		debug.SetMemoryLimit(int64(heapShare * float64(set.Memory.Bytes())))
+		debug.SetMemoryLimit(int64(heapFraction * float64(set.Memory.Bytes())))
 		r.Reload(set, directConfig(set))
 	}
 }
--- a/cmd/goldcrestd/validate.go
+++ b/cmd/goldcrestd/validate.go
@@ -7,14 +7,15 @@
 	"goldcrestport/protocol/settings"
 )
 
-// Roles that a settings file can be for.
+// Roles of a process, each with its own settings.
 const (
 	roleRouter  = "router"
 	roleSidecar = "sidecar"
 	roleDirect  = "direct"
 )
 
-// validateCommand checks a settings file without starting anything.
+// validateCommand returns the command that checks a settings file without starting a
+// process.
 func validateCommand() *cobra.Command {
 	var role, file string
 	cmd := &cobra.Command{
@@ -22,7 +23,7 @@
 		Short: "Check a settings file without starting",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			into, err := settingsOf(role)
+			into, err := defaultSettings(role)
 			if err != nil {
 				return err
 			}
@@ -39,8 +40,8 @@
 	return cmd
 }
 
-// settingsOf returns the default settings of a role.
-func settingsOf(role string) (settings.Settings, error) {
+// defaultSettings returns the default settings of a role.
+func defaultSettings(role string) (settings.Settings, error) {
 	switch role {
 	case roleRouter:
 		set := settings.DefaultRouter()
