--- a/cmd/goldcrestd/commands_test.go
+++ b/cmd/goldcrestd/commands_test.go
@@ -42,8 +42,8 @@
 // Guards the bounds of the deployed linger setting. A stopping router must accept new
 // streams for longer than the load balancer needs to take it out of rotation (two health
 // checks, one per second). It must reject them before three seconds have passed, because a
-// stream accepted later than that must not be cut off at shutdown (LOST on plgc-port
-// trouble-2: a stream was accepted 3.002 s after the signal).
+// stream accepted later than that must not be cut off at shutdown (in one test run
+// a stream was accepted 3.002 s after the signal).
 func TestDeployedLingerIsWithinBounds(t *testing.T) {
 	c := quicktest.New(t)
 	data, err := os.ReadFile("../../deploy/router.json.tmpl")
--- a/cmd/goldcrestd/direct.go
+++ b/cmd/goldcrestd/direct.go
@@ -37,11 +37,11 @@
 	return cmd
 }
 
-// freshnessFraction is the part of the key revocation bound that is allowed as staleness of
+// freshnessFraction is the fraction of the key revocation bound that is allowed as staleness of
 // the configuration; the rest is for the time that a request takes to its server.
 const freshnessFraction = 0.94
 
-// heapFraction is the part of the process's memory that is the soft memory limit of the
+// heapFraction is the fraction of the process's memory that is the soft memory limit of the
 // garbage collector; the rest is for stacks, kernel buffers and overshoot of the limit.
 const heapFraction = 0.7
 
@@ -98,7 +98,7 @@
 	return c
 }
 
-// silenceFraction is the part of the bound on requests to departed servers for which a
+// silenceFraction is the fraction of the bound on requests to departed servers for which a
 // server that is known to be shutting down may be silent; the rest is for its shutdown
 // announcement to arrive.
 const silenceFraction = 0.5
--- a/cmd/goldcrestd/main.go
+++ b/cmd/goldcrestd/main.go
@@ -1,4 +1,5 @@
-// Command goldcrestd runs a router or a sidecar of goldcrestport.
+// Command goldcrestd runs one process of goldcrestport: a router with sidecars, a sidecar, or
+// a direct router, which calls backend servers itself.
 package main
 
 import (
--- a/coordination/completeness/completeness.go
+++ b/coordination/completeness/completeness.go
@@ -67,8 +67,8 @@
 	Whole Verdict = iota
 	// Broken means that the response is incomplete.
 	Broken
-	// Unmarked means that the response alone does not tell. The caller must check whether
-	// the server is still alive and pass the result to Settle.
+	// Unmarked means that the response alone does not show whether it is complete. The
+	// caller must check whether the server is still alive and pass the result to Settle.
 	Unmarked
 )
 
--- a/coordination/confirm/state.go
+++ b/coordination/confirm/state.go
@@ -7,7 +7,7 @@
 	proposal Proposal
 	head     *config.Document
 	version  uint64
-	// entry is the revision whose history entry is being read.
+	// entryRevision is the revision whose history entry is being read.
 	entryRevision uint64
 	// inDoubt is true if a write of the head may have taken effect.
 	inDoubt  bool
--- a/coordination/fairshare/meter.go
+++ b/coordination/fairshare/meter.go
@@ -186,7 +186,7 @@
 // Updated returns when Standing last summed the usage of all teams.
 func (m *Meter) Updated() time.Time { return m.updated }
 
-// Each calls do for each team with its usage at all routers, as of the last call of
+// Each calls visit for each team with its usage at all routers, as of the last call of
 // Standing.
 func (m *Meter) Each(visit func(team TeamID, use Use)) {
 	for team, use := range m.total {
--- a/coordination/leave/leave.go
+++ b/coordination/leave/leave.go
@@ -2,7 +2,7 @@
 //
 // The package is a pure state machine: State.Step takes an event and the time
 // and returns the phase. It has no I/O, clock or goroutines. The drivers are
-// transport/router and transport/sidecar.
+// transport/direct, transport/router and transport/sidecar.
 //
 // Direct routers, routers with sidecars and sidecars use it.
 package leave
--- a/coordination/plan/compare.go
+++ b/coordination/plan/compare.go
@@ -97,7 +97,7 @@
 	c.teamNotes(t, old, updated)
 }
 
-// pools computes the effect on the teams that the change doesn't name.
+// comparePools computes the effect on the teams that the change doesn't name.
 func (c *comparison) comparePools() {
 	others := map[string]int{}
 	for name, team := range c.next.Teams {
--- a/coordination/quarantine/config.go
+++ b/coordination/quarantine/config.go
@@ -24,8 +24,8 @@
 	JudgementDelay time.Duration
 	// TieBreak is how long after the last required crash a request is not yet refused while
 	// another one was running at each of its crashes. A request that completes, or that does
-	// not run at the next crash, tells the two apart. Default 2s, of the 3 that the promise
-	// leaves.
+	// not run at the next crash, distinguishes the two. Default 2s, of the 3 that the
+	// guarantee to the users allows.
 	TieBreak time.Duration
 	// Settle is how long a server must stay up after a run for the run to count as successful:
 	// a server may crash after the answer. Default 2s, so that another send to the server
@@ -52,7 +52,8 @@
 	// ProbeAfter lists the times after the start of the refusals at which one probe request is
 	// allowed, to find requests that are refused wrongly, or whose servers were fixed. Default
 	// 5m and 1h: together with the probe of ExplainedProbeAfter, or the send that a tie may
-	// take, these are the three sends that the promise leaves.
+	// take, these are the three sends that the guarantee to the
+	// users allows.
 	ProbeAfter []time.Duration
 	// ExplainedProbeAfter is the time from the start of the refusals to the first probe where
 	// other refused requests were running at each crash. Default 500ms: by then the reports of
--- a/coordination/quarantine/fleet_test.go
+++ b/coordination/quarantine/fleet_test.go
@@ -267,7 +267,7 @@
 	{routers: 800, servers: 2200, span: 11 * time.Second, seeds: 1},
 }
 
-// The promise holds at each size, with lost datagrams and one-way links, and no more harmless
+// The guarantee holds at each size, with lost datagrams and one-way links, and no more harmless
 // requests are refused than the users tolerate: 5 and one in 500. The aim is none.
 func TestFleetRefusesCrashingRequest(t *testing.T) {
 	for _, size := range fleetSizes {
--- a/coordination/quarantine/judge.go
+++ b/coordination/quarantine/judge.go
@@ -20,7 +20,7 @@
 
 // judgeDue refuses those of the requests due for judgement during which enough servers
 // crashed. All are judged before one is refused: a refused request explains the crashes of the
-// others, and two that nothing tells apart are both refused.
+// others, and two that cannot be distinguished are both refused.
 func (s *State) judgeDue(now time.Time) {
 	var refusals []Fingerprint
 	for fp, at := range s.judgements {
@@ -43,7 +43,7 @@
 
 // shouldRefuse reports whether enough servers crashed while running the request to refuse it.
 // While another request was running at each of these crashes, the judgement is postponed until
-// something may tell them apart.
+// further evidence may distinguish them.
 func (s *State) shouldRefuse(now time.Time, fp Fingerprint) bool {
 	r := s.records[fp]
 	if r == nil || !r.refusedAt.IsZero() || s.strikes(fp, r) < s.cfg.Crashes {
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -125,8 +125,8 @@
 	qt.Check(t, s.MayRepeat(good), qt.IsTrue, qt.Commentf("one crash counts: the others are explained"))
 }
 
-// When two requests were running at all three crashes, one more crash tells them apart, even
-// if the three were copies sent at once. The tie does not last for ever.
+// When two requests were running at all three crashes, one more crash distinguishes them,
+// even if the three were copies sent at once. The tie does not last for ever.
 func TestTieIsBrokenByOneMoreCrash(t *testing.T) {
 	s := New(DefaultConfig(), "a")
 	for i := range 3 {
--- a/coordination/saturation/saturation_test.go
+++ b/coordination/saturation/saturation_test.go
@@ -120,8 +120,8 @@
 
 // Guards against a stream limit that shrinks though the open streams are served in time.
 // The balancer sends one caller's flood to one small router, which refuses 1,500 requests a
-// second and reads 40 ms late while it relays 200 streams. These streams are the flooding
-// team's part of its share (seen on plgc-port-grown, FAIR).
+// second and reads 40 ms late while it relays 200 streams. These streams are this
+// router's portion of the flooding team's share (seen in a test run).
 func TestModeratelyLateRouterKeepsItsLimit(t *testing.T) {
 	l, now := NewLimit(DefaultLimitConfig()), time.Unix(1000, 0)
 	l.Adjust(now, 80*time.Millisecond, 250)
--- a/coordination/watchduty/watchduty_test.go
+++ b/coordination/watchduty/watchduty_test.go
@@ -49,9 +49,8 @@
 // Guards against a router that learns too late that a server shuts down. A
 // router was partitioned for so long that its entry expired. The others didn't
 // have it in their list and sent it no updates, while it reached the store
-// again but polled it only now and then. It was found by DRAIN on
-// lanna-glyph trouble-1: the router learnt of the shutdown after 2.1 s; the
-// bound is 2 s.
+// again but polled it only now and then. Such a router learnt of a shutdown
+// after 2.1 s; the bound is 2 s.
 func TestRouterWithoutUpdatesPolls(t *testing.T) {
 	cfg, routers := DefaultConfig(), []string{"a", "b", "c", "d"}
 	for _, self := range routers {
--- a/protocol/losses/losses.go
+++ b/protocol/losses/losses.go
@@ -1,4 +1,4 @@
-// Package losses counts the requests that were refused, failed, cut or late
+// Package losses counts the requests that were refused, failed, truncated or late
 // by routers' log lines, grouped by the inputs of the routers' decisions.
 //
 // goldcrestctl losses uses it. Logs may be of any length: memory use is
--- a/protocol/settings/doc.go
+++ b/protocol/settings/doc.go
@@ -8,13 +8,13 @@
 //  2. Each value by itself, against the role's JSON schema in schema/.
 //  3. Values against each other, in the role's checkConflicts method.
 //
-// To add a field, add one line to its struct in router.go, sidecar.go or
-// common.go and one line to the schema of the same name, with its check:
+// To add a field, add one line to its struct in router.go, sidecar.go,
+// direct.go or common.go and one line to the schema of the same name, with its check:
 //
 //	"exchange_every": { "duration": ["100ms", "1m"] }
 //
-// A default, if there is one, goes into DefaultRouter or DefaultSidecar. A
-// test fails if a struct and its schema differ in a key. In addition to the
+// A default, if there is one, goes into DefaultRouter, DefaultSidecar or
+// DefaultDirect. A test fails if a struct and its schema differ in a key. In addition to the
 // keywords of JSON Schema (type, enum, minimum, maximum, required) there are
 //
 //   - "duration": [least, greatest] for a Duration,
--- a/standin/backend/answer.go
+++ b/standin/backend/answer.go
@@ -69,7 +69,7 @@
 }
 
 // plainShape returns the shape of a plain response. A response that a running server truncates has a
-// Content-Length: without it, the client could not tell it from a complete response.
+// Content-Length: without it, the client could not distinguish it from a complete response.
 func (s *Server) plainShape(run Run, fault Fault) shape {
 	if !s.hasShapes() || fault != Sound {
 		return shape{framing: contentLength}
--- a/standin/backend/backend.go
+++ b/standin/backend/backend.go
@@ -52,7 +52,7 @@
 
 // Faults of responses.
 const (
-	// Sound injects no fault.
+	// Sound means that no fault is injected.
 	Sound Fault = ""
 	// Fails responds with status 500 after the run.
 	Fails Fault = "fails"
--- a/standin/backend/shape.go
+++ b/standin/backend/shape.go
@@ -54,7 +54,7 @@
 	n := int(h.Sum32() >> 3)
 	sh := shape{framing: framing(n % int(framingCount)), end: truncationEnd(n / 3 % int(truncationEndCount)), cut: n / 9 % cutPositions}
 	if sh.cut == 0 && (sh.end == endsFraming || sh.end == closesConnection && sh.framing == untilClose) {
-		// The client could not tell the truncated stream from a complete one.
+		// The client could not distinguish the truncated stream from a complete one.
 		sh.cut = 2
 	}
 	return sh
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -1,6 +1,6 @@
 // Package relay is a TCP proxy between two processes that can reset its connections,
-// stall them (in both directions or one), delay them, and return to normal. Tests, the
-// proving tool and the soak use it to simulate partitions and lost or slow links.
+// stall them (in both directions or one), delay them, and return to normal. Tests,
+// bench/prove and bench/soak use it to simulate partitions and lost or slow links.
 //
 // Stalled bytes are lost if their sender resets the connection, as on a path between
 // two hosts. If the sender closes the connection, all that it sent is still forwarded.
--- a/state/ledger/ledger.go
+++ b/state/ledger/ledger.go
@@ -66,8 +66,8 @@
 
 // Kinds of News.
 const (
-	// Nothing means that the counter was ignored: it is outdated, invalid, a
-	// writer's own, or beyond MaxTeams.
+	// Nothing means that the counter was ignored: it is outdated, invalid, one
+	// of this process itself, or beyond MaxTeams.
 	Nothing News = iota
 	// First means the first update of a writer, or of its new incarnation, for a
 	// team.
--- a/transport/callerconn/callerconn_test.go
+++ b/transport/callerconn/callerconn_test.go
@@ -35,8 +35,7 @@
 
 // Guards against lost requests on a connection that is closed at the short idle limit although
 // its last response did not announce it: the caller goes by the last response and keeps using
-// the connection (requests were lost for this on plgc-port scale-1 and lanna-glyph trouble-3,
-// two of eight scores).
+// the connection (requests were lost for this reason in two of eight test runs).
 func TestShortIdleLimitIsThatOfTheLastResponse(t *testing.T) {
 	c := NewSet()
 	conn, far := net.Pipe()
--- a/transport/claims/history_test.go
+++ b/transport/claims/history_test.go
@@ -100,7 +100,7 @@
 	return f.guards[i]
 }
 
-// Operations on a key, which is modelled as a register.
+// opKind is the kind of an operation on a key, which is modelled as a register.
 type opKind int
 
 const (
--- a/transport/direct/callers_test.go
+++ b/transport/direct/callers_test.go
@@ -17,7 +17,7 @@
 	"goldcrestport/protocol/settings"
 )
 
-// pausedBackend is a backend server that does not answer requests until it is told to.
+// pausedBackend is a backend server that does not answer requests until the test lets it.
 type pausedBackend struct {
 	server  *backendServer
 	running atomic.Int64
--- a/transport/direct/crash_test.go
+++ b/transport/direct/crash_test.go
@@ -39,8 +39,8 @@
 // crashBody is the body of the request that crashes each server that starts it.
 const crashBody = "crash"
 
-// harmlessBody is the body of a request that any server runs without fault; the servers tell the
-// two apart by their lengths.
+// harmlessBody is the body of a request that any server runs without fault; the servers
+// distinguish the two by their lengths.
 const harmlessBody = "no crash"
 
 // crashWay simulates how a server crashes under the request. It returns when the server is
--- a/transport/direct/crashreport.go
+++ b/transport/direct/crashreport.go
@@ -20,7 +20,7 @@
 	reportBudget = 2000
 )
 
-// sendCrashReports sends new crash reports to the other routers, and repeats the standing ones
+// sendCrashReports sends new crash reports to the other routers, and repeats the earlier ones
 // when they are due.
 func (t *gossiper) sendCrashReports(now time.Time) {
 	others := time.Duration(len(t.destinations))
--- a/transport/direct/draining_test.go
+++ b/transport/direct/draining_test.go
@@ -2,11 +2,11 @@
 
 // A backend server received requests 11.6 s after a router had relayed an answer of it that
 // announced its shutdown. The store answered no router for 13 s, so the server's entry could
-// not be updated; its last entry, which said that it is ready, counted all the time and for 2
-// s more. The cause was that what an answer says about its server was not read; only the
-// store's entries could end the use of a server. Without network delays, late routers or
-// entries read again, each of nine ways to announce a shutdown had no effect here; once they
-// are read at the one place where answers arrive, all have.
+// not be updated; its last entry, which said that it is ready, counted all the time and for
+// 2 s more. The cause was that what an answer says about its server was not read; only the
+// store's entries could end the use of a server. In these tests, which have no network delays,
+// late routers or entries that are read again, none of nine ways to announce a shutdown had an
+// effect before; since announcements are read at the one place where answers arrive, all have.
 
 import (
 	"fmt"
--- a/transport/direct/ending_test.go
+++ b/transport/direct/ending_test.go
@@ -26,7 +26,7 @@
 }
 
 // The log shows for a request's id how its answer was framed, how it ended and what its caller
-// received: otherwise a broken answer cannot be told from a whole one afterwards.
+// received: otherwise a truncated answer cannot be distinguished from a complete one afterwards.
 func TestTheEndOfAnAnswerIsLogged(t *testing.T) {
 	run := func(w io.Writer, _ *http.Request) bool {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: m\r\nTransfer-Encoding: chunked\r\n\r\nd\r\nid: 7\n\ndata:\r\n", testMark)
--- a/transport/direct/framing_test.go
+++ b/transport/direct/framing_test.go
@@ -343,7 +343,7 @@
 	f.Check(len(bad.runs()) < 15, qt.IsTrue, qt.Commentf("%d of 40 requests went to a server that breaks each off", len(bad.runs())))
 }
 
-// withoutFraming: the server crashes after half an event, and its streams have no framing.
+// withoutFraming answers with a stream without framing and crashes after half an event.
 func withoutFraming(w io.Writer, _ *http.Request) {
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: m\r\n\r\n%sid: 3\nda", testMark, eventsText(1, 2))
 	time.Sleep(20 * time.Millisecond)
@@ -489,7 +489,7 @@
 		p.body = stream[:cut]
 		isMarked := p.framing != byConnection && !p.noEnd
 		isKnown := isMarked || p.framing == byConnection && cut > 0
-		// An end between two events cannot be told from the end of the stream.
+		// An end between two events cannot be distinguished from the end of the stream.
 		mayLookWhole := isKnown && isBetween(stream, cut)
 		comment := qt.Commentf("%+v, %s", p, proto)
 		got := ask("/stream/")
--- a/transport/direct/router.go
+++ b/transport/direct/router.go
@@ -67,7 +67,7 @@
 	member  membership
 	servers map[string]roster.Server
 	peers   map[string]mirror.Registration
-	// peersChanged tells the gossiper to read peers again.
+	// peersChanged makes the gossiper read peers again.
 	peersChanged bool
 	// lastSeqs holds the sequence number of the last message from each other router, and witness
 	// the times of this router's own messages.
--- a/transport/direct/teams.go
+++ b/transport/direct/teams.go
@@ -33,8 +33,8 @@
 // exceedsShare reports whether the team has received more than its share.
 func (r *Router) exceedsShare(team string) bool { return r.teamStanding(team).Share > 1 }
 
-// teamStanding returns the team's standing among all teams, as far as this router knows: its
-// share relative to what it has received, and the max-min fair share level.
+// teamStanding returns the team's standing among all teams, as far as this router knows:
+// what it has received relative to its share, and the max-min fair share level.
 func (r *Router) teamStanding(team string) teamlog.Standing {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/transport/duty/duty.go
+++ b/transport/duty/duty.go
@@ -1,7 +1,7 @@
 // Package duty contains helpers for the goroutines that drive the decision logic: message
 // delivery and graceful shutdown.
 //
-// It is used by transport/router, transport/sidecar, transport/spread and transport/claims.
+// It is used by transport/direct, transport/router, transport/sidecar and transport/spread.
 package duty
 
 import (
--- a/transport/lateness/lateness.go
+++ b/transport/lateness/lateness.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// read reports a completed measurement.
+// complete ends the oldest measurement and reports it.
 func (w *watcher) complete(sent time.Duration) {
 	w.mu.Lock()
 	if len(w.unread) > 0 {
--- a/transport/probe/probe.go
+++ b/transport/probe/probe.go
@@ -2,7 +2,7 @@
 // process may close some connections shortly before it stops listening, and the kernel may
 // complete connections that the process never accepts.
 //
-// It is used by transport/backend and transport/sidecar.
+// It is used by transport/backend, transport/direct and transport/sidecar.
 package probe
 
 import (
--- a/transport/revocable/revocable.go
+++ b/transport/revocable/revocable.go
@@ -3,7 +3,8 @@
 // does not mistake the close for a regular end of the data. A caller that abandons a call by
 // closing its connection thereby revokes it as far as that is possible.
 //
-// It is used by platform, transport/backend, transport/callerconn and transport/link.
+// It is used by platform, transport/backend, transport/callerconn, transport/link,
+// transport/operatorclient and transport/sidecar.
 package revocable
 
 import (
--- a/transport/router/attempt.go
+++ b/transport/router/attempt.go
@@ -50,7 +50,7 @@
 	if !time.Now().Before(c.request.Deadline) {
 		// A router process that was frozen resumes with stale decisions. An
 		// attempt that starts now would be cancelled at once, with no way to
-		// tell whether it ran.
+		// find out whether it ran.
 		return unknownIfMayHaveRun(c, outcome.Refuse(outcome.ReasonDeadline, http.StatusServiceUnavailable, retryAfterNotRun,
 			"the deadline passed before the request was sent")), false
 	}
--- a/transport/router/callers.go
+++ b/transport/router/callers.go
@@ -17,10 +17,10 @@
 )
 
 // retryAfterRefusal is the Retry-After hint for refusals whose cause is likely
-// to be short-lived.
+// to be temporary.
 const retryAfterRefusal = time.Second
 
-// bearer is the scheme prefix of an Authorization header.
+// bearerPrefix is the scheme prefix of an Authorization header.
 const bearerPrefix = "Bearer "
 
 // callerHandler serves the callers' listener.
--- a/transport/router/dispatcher_test.go
+++ b/transport/router/dispatcher_test.go
@@ -11,7 +11,7 @@
 	"goldcrestport/protocol/wire"
 )
 
-// apply updates a view of registrations as a sidecar does for a message:
+// applyControl updates a view of registrations as a sidecar does for a message:
 // interests first, then empties, which end a registration.
 func applyControl(view map[string]uint32, pulls map[uint64]string, m *wire.ControlUp) {
 	for _, i := range m.Interests {
--- a/transport/router/headers.go
+++ b/transport/router/headers.go
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// headersFit reports whether the headers are within their limits.
+// headersWithinLimits reports whether the headers are within their limits.
 func headersWithinLimits(h http.Header, limits settings.CallerLimits) bool {
 	fields, bytes := 0, 0
 	for name, values := range h {
--- a/transport/router/trace_test.go
+++ b/transport/router/trace_test.go
@@ -36,7 +36,7 @@
 	return s.b.String()
 }
 
-// traces stores the spans of a fleet in memory.
+// traceStore stores the spans of a fleet in memory.
 type traceStore struct {
 	exporter *tracetest.InMemoryExporter
 	tracers  []*observe.Tracer
--- a/transport/sidecar/execute.go
+++ b/transport/sidecar/execute.go
@@ -77,8 +77,8 @@
 	}
 	length := resp.ContentLength
 	if isStream(resp) {
-		// A stream of the announced length may still be incomplete, and a caller
-		// that knows the length could not be told so.
+		// A stream of the announced length may still be incomplete, and to a caller
+		// that knows the length this could not be indicated.
 		length = -1
 		resp.Header.Del("Content-Length")
 	}
--- a/transport/spread/spread.go
+++ b/transport/spread/spread.go
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// Heard processes a peer's report of its revision and the staleness of it. It
+// Heard processes a peer's report of its revision and of that revision's staleness. It
 // never blocks: a report dropped because the queue is full is repeated by the
 // next heartbeat.
 func (s *Spreader) Heard(p Peer, revision uint64, age time.Duration) {
