--- a/transport/direct/backoff_test.go
+++ b/transport/direct/backoff_test.go
@@ -27,12 +27,16 @@
 	status int
 	// notRun means that it marks requests that it did not run.
 	notRun bool
+	// refusedAt is when it refused its first request; nil before that.
+	refusedAt atomic.Pointer[time.Time]
 }
 
 func (s *shedding) answer(w io.Writer, req *http.Request) bool {
 	if s.sound.Load() {
 		return respondSlowly(w, req)
 	}
+	now := time.Now()
+	s.refusedAt.CompareAndSwap(nil, &now)
 	headers := fmt.Sprintf("%s: %d\r\n", testAfter, s.after.Milliseconds())
 	if s.notRun {
 		headers += testNotRun + ": 1\r\n"
@@ -63,10 +67,11 @@
 			go f.call("/stream/", "before")
 			f.waitFor("the stream did not reach the server", func() bool { return len(asks.runs()) == 1 })
 			f.callAtOnce(loadCallers)
-			f.waitFor("the server received no request", func() bool { return len(asks.runs()) > 1 })
+			f.waitFor("the server refused no request", func() bool { return sheds.refusedAt.Load() != nil })
 			time.Sleep(leavingBound)
 			before := len(asks.runs())
-			f.loadFor(after - 2*leavingBound)
+			// Later requests may be the probe after the back-off, also if the sleep was long.
+			f.loadFor(time.Until(sheds.refusedAt.Load().Add(after - leavingBound)))
 			f.Check(len(asks.runs())-before, qt.Equals, 0)
 			sheds.sound.Store(true)
 			f.loadFor(after)
